--- a/ramphinge/peers/message.cpp
+++ b/ramphinge/peers/message.cpp
@@ -226,11 +226,11 @@
 {
     return "copied";
 }
-const char *nameOf(const NewsRequestMessage &)
+const char *nameOf(const StoreUpdateRequestMessage &)
 {
     return "news?";
 }
-const char *nameOf(const NewsMessage &)
+const char *nameOf(const StoreUpdateMessage &)
 {
     return "news";
 }
@@ -242,7 +242,7 @@
 {
     return "loads";
 }
-const char *nameOf(const ServerNewsMessage &)
+const char *nameOf(const ServerUpdateMessage &)
 {
     return "limits";
 }
@@ -508,7 +508,7 @@
     message.prepared = json.at("e").get<std::string>();
 }
 
-void put(const NewsRequestMessage &message, Json &json)
+void put(const StoreUpdateRequestMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["a"] = message.after.count();
@@ -516,7 +516,7 @@
     json["l"] = message.storeLost;
 }
 
-void take(NewsRequestMessage &message, const Json &json, MonotonicTime)
+void take(StoreUpdateRequestMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
     message.after = Revision(json.at("a").get<std::int64_t>());
@@ -547,12 +547,12 @@
     return change;
 }
 
-void put(const NewsMessage &message, Json &json)
+void put(const StoreUpdateMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["r"] = static_cast<int>(message.verdict);
     json["u"] = message.upTo.count();
-    json["b"] = std::chrono::ceil<Milliseconds>(message.provenBefore).count();
+    json["b"] = std::chrono::ceil<Milliseconds>(message.staleness).count();
     Json list = Json::array();
     for (const StoreChange &change : message.changes)
         list.push_back(changeJson(change));
@@ -561,12 +561,12 @@
         json["m"] = true;
 }
 
-void take(NewsMessage &message, const Json &json, MonotonicTime)
+void take(StoreUpdateMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
-    message.verdict = enumFrom(json.at("r"), NewsVerdict::TooMuch);
+    message.verdict = enumFrom(json.at("r"), UpdateVerdict::TooLarge);
     message.upTo = Revision(json.at("u").get<std::int64_t>());
-    message.provenBefore = durationFrom(json.at("b"));
+    message.staleness = durationFrom(json.at("b"));
     for (const Json &change : json.at("c"))
         message.changes.push_back(changeFrom(change));
     message.moreFollow = json.value("m", false);
@@ -638,40 +638,40 @@
     message.load = loadFrom(json);
 }
 
-void put(const ServerNewsMessage &message, Json &json)
+void put(const ServerUpdateMessage &message, Json &json)
 {
     Json list = Json::array();
-    for (const ServerLimitNews &news : message.news.limits) {
-        const Json rate = news.rate ? Json(news.rate->perSecond()) : Json();
-        list.push_back(Json::array(
-            { news.server.host.text(), news.server.zone.text(), rate, milliseconds(news.age) }));
+    for (const ServerLimitNews &update : message.update.limits) {
+        const Json rate = update.rate ? Json(update.rate->perSecond()) : Json();
+        list.push_back(Json::array({ update.server.host.text(), update.server.zone.text(), rate,
+                                     milliseconds(update.age) }));
     }
     json["l"] = std::move(list);
     Json leaving = Json::array();
-    for (const HostId &host : message.news.leaving)
+    for (const HostId &host : message.update.leaving)
         leaving.push_back(host.text());
     json["v"] = std::move(leaving);
 }
 
 // A rate that can't be is left out: it would be told on.
-void take(ServerNewsMessage &message, const Json &json, MonotonicTime)
+void take(ServerUpdateMessage &message, const Json &json, MonotonicTime)
 {
     for (const Json &entry : json.at("l")) {
-        ServerLimitNews news;
-        news.server = { HostId(entry.at(0).get<std::string>()),
-                        ZoneId(entry.at(1).get<std::string>()) };
-        news.age = durationFrom(entry.at(3), 0);
+        ServerLimitNews update;
+        update.server = { HostId(entry.at(0).get<std::string>()),
+                          ZoneId(entry.at(1).get<std::string>()) };
+        update.age = durationFrom(entry.at(3), 0);
         if (!entry.at(2).is_null()) {
             const auto rate = entry.at(2).get<double>();
             if (!std::isfinite(rate) || rate < 0)
                 continue;
-            news.rate = RequestRate(rate);
+            update.rate = RequestRate(rate);
         }
-        message.news.limits.push_back(std::move(news));
+        message.update.limits.push_back(std::move(update));
     }
     const Json leaving = json.value("v", Json::array());
     for (const Json &host : leaving)
-        message.news.leaving.emplace_back(host.get<std::string>());
+        message.update.leaving.emplace_back(host.get<std::string>());
 }
 
 template <std::size_t Index = 0>
--- a/ramphinge/peers/message.h
+++ b/ramphinge/peers/message.h
@@ -130,7 +130,7 @@
 };
 
 // Asks a relay for the changes of the store after a revision.
-struct NewsRequestMessage
+struct StoreUpdateRequestMessage
 {
     CorrelationId id;
     Revision after;
@@ -138,22 +138,22 @@
     bool storeLost = false; // The sender can't reach the store itself.
 };
 
-enum class NewsVerdict {
-    News, // All changes after the asked revision, up to `upTo`; there may be none.
-    NoPicture, // The receiver is no relay, or has just begun to be one.
+enum class UpdateVerdict {
+    Update, // All changes after the asked revision, up to `upTo`; there may be none.
+    NoView, // The receiver is no relay, or has just begun to be one.
     StoreLost, // It can't reach the store either.
     TooOld, // Its memory does not reach back to the asked revision.
-    TooMuch, // There are more changes than it passes on at once.
+    TooLarge, // There are more changes than it passes on at once.
 };
 
-struct NewsMessage
+struct StoreUpdateMessage
 {
     CorrelationId id; // Of the question.
-    NewsVerdict verdict = NewsVerdict::NoPicture;
+    UpdateVerdict verdict = UpdateVerdict::NoView;
     Revision upTo;
     // How long before the question arrived the relay's picture held every change; negative if it
     // held them later. Whole milliseconds on the wire, rounded up.
-    Duration provenBefore {};
+    Duration staleness {};
     std::vector<StoreChange> changes; // The newest of each key, in order.
     bool moreFollow = false; // There are changes after `upTo`: the next question brings them.
 };
@@ -172,17 +172,17 @@
 };
 
 // What servers said of themselves, as far as it is news.
-struct ServerNewsMessage
+struct ServerUpdateMessage
 {
-    ServerNews news;
+    ServerNews update;
 };
 
 using PeerMessage =
     std::variant<StatusMessage, ObservationsMessage, ServiceMessage, ClaimRequestMessage,
                  ClaimReplyMessage, SettleMessage, HandoverMessage, HandoverAckMessage,
                  ConfirmMessage, InForceMessage, ConfigQueryMessage, ConfigMessage,
-                 CopyGrantMessage, CopyAckMessage, NewsRequestMessage, NewsMessage,
-                 LoadReportMessage, LoadSumMessage, ServerNewsMessage>;
+                 CopyGrantMessage, CopyAckMessage, StoreUpdateRequestMessage, StoreUpdateMessage,
+                 LoadReportMessage, LoadSumMessage, ServerUpdateMessage>;
 
 std::string encode(const PeerMessage &message);
 
--- a/ramphinge/peers/peers_test.cpp
+++ b/ramphinge/peers/peers_test.cpp
@@ -52,19 +52,20 @@
         ConfigMessage { "{}", "" },
         CopyGrantMessage { CorrelationId(5), slot, 2, attempt },
         CopyAckMessage { CorrelationId(5) },
-        NewsRequestMessage { CorrelationId(6), Revision(9), Milliseconds(700), true },
-        NewsMessage { CorrelationId(6),
-                      NewsVerdict::News,
-                      Revision(12),
-                      Milliseconds(-4),
-                      { { StoreKey("k"), StoredValue { std::string("\xff\0v", 3), Revision(11) } },
-                        { StoreKey("gone"), std::nullopt } },
-                      true },
+        StoreUpdateRequestMessage { CorrelationId(6), Revision(9), Milliseconds(700), true },
+        StoreUpdateMessage {
+            CorrelationId(6),
+            UpdateVerdict::Update,
+            Revision(12),
+            Milliseconds(-4),
+            { { StoreKey("k"), StoredValue { std::string("\xff\0v", 3), Revision(11) } },
+              { StoreKey("gone"), std::nullopt } },
+            true },
         LoadReportMessage { true,
                             { { { HostId("h"), 3, 1400 }, { HostId("i"), 1, 0 } },
                               { { ModelId("chat"), { 250.5, 7 } } } } },
         LoadSumMessage { { { { HostId("h"), 9, 5600 } }, {} } },
-        ServerNewsMessage {
+        ServerUpdateMessage {
             { { { { HostId("h"), ZoneId("z") }, RequestRate(1.6), std::chrono::milliseconds(40) },
                 { { HostId("i"), ZoneId("z") }, std::nullopt, {} } },
               { HostId("j") } } }
@@ -172,15 +173,15 @@
                std::int64_t(1) << 60U, std::int64_t(9'300'000'000'000) }) {
             const nlohmann::json request { { "v", 1 }, { "t", "news?" }, { "n", 1 },
                                            { "a", 1 }, { "w", count },   { "l", false } };
-            const nlohmann::json news { { "v", 1 },
-                                        { "t", "news" },
-                                        { "n", 1 },
-                                        { "r", 0 },
-                                        { "u", 1 },
-                                        { "b", count },
-                                        { "c", nlohmann::json::array() } };
-            const Duration wait = std::get<NewsRequestMessage>(decoded(request)).wait;
-            const Duration proven = std::get<NewsMessage>(decoded(news)).provenBefore;
+            const nlohmann::json update { { "v", 1 },
+                                          { "t", "news" },
+                                          { "n", 1 },
+                                          { "r", 0 },
+                                          { "u", 1 },
+                                          { "b", count },
+                                          { "c", nlohmann::json::array() } };
+            const Duration wait = std::get<StoreUpdateRequestMessage>(decoded(request)).wait;
+            const Duration proven = std::get<StoreUpdateMessage>(decoded(update)).staleness;
             for (const Duration read : { wait, proven })
                 CPPUNIT_ASSERT(count > 0 ? read > Duration::zero() && read <= most
                                          : read < Duration::zero() && read >= -most);
--- a/ramphinge/relay/change_log.h
+++ b/ramphinge/relay/change_log.h
@@ -1,10 +1,10 @@
-// The store's changes since some revision, the newest of each key: what a daemon with an older
-// picture needs to have the present one.
+// The store's changes since some revision, the newest of each key: what a daemon with an older view
+// needs to bring it up to date.
 //
 //   log.restart(listed.upTo);
 //   log.add(batch);
 //   if (log.reachesBackTo(after))
-//       reply(log.changesAfter(after));
+//       reply(log.changesAfter(after, maxBytes));
 
 #pragma once
 
@@ -17,55 +17,57 @@
 
 struct ChangeLogOptions
 {
-    // Memory that changes may take. The entries of 760 servers and 300 daemons take 0.5 MB; what is
-    // older than fits is forgotten, and whoever needs it asks the store.
-    std::size_t mostBytes = 4 * 1024 * 1024;
+    // Limit of the memory for keys and values. The entries of 760 servers and 300 daemons take
+    // 0.5 MB. Beyond the limit the oldest changes are discarded, and a daemon that needs them reads
+    // the store.
+    std::size_t maxBytes = 4 * 1024 * 1024;
 };
 
-// Changes after some revision, in order.
+// Changes after some revision, in revision order.
 struct LoggedChanges
 {
     std::vector<StoreChange> changes;
-    Revision upTo; // Every change up to here is among them, or was replaced by a later one.
-    bool reachesEnd = true; // False: more follow after `upTo`.
+    Revision upTo; // Each change up to here is included, or superseded by a later one of its key.
+    bool isComplete = true; // False: more changes follow after `upTo`.
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class ChangeLog
 {
 public:
     explicit ChangeLog(ChangeLogOptions options) : m_options(options) { }
 
-    // Forgets everything: changes after `upTo` are to follow.
+    // Clears the log: the next batch holds the changes after `upTo`.
     void restart(Revision upTo);
 
-    // The changes that follow, in order.
+    // Appends the batch that follows upTo().
     void add(const WatchBatch &batch);
 
-    // Every change after `after` is here, up to upTo().
-    bool reachesBackTo(Revision after) const { return after >= m_since; }
+    // Whether the log holds every change after `after`, up to upTo().
+    bool reachesBackTo(Revision after) const { return after >= m_startsAfter; }
     Revision upTo() const { return m_upTo; }
     bool hasChangesAfter(Revision after) const;
 
-    // The newest change of each key after `after`; `mostBytes` of keys and values at most, but all
-    // or none of one revision. Nothing if the first revision alone is larger.
-    std::optional<LoggedChanges> changesAfter(Revision after, std::size_t mostBytes) const;
+    // The newest change of each key after `after`, limited to `maxBytes` of keys and values. A
+    // revision is never split. nullopt if the first revision alone exceeds the limit.
+    std::optional<LoggedChanges> changesAfter(Revision after, std::size_t maxBytes) const;
 
 private:
     struct Change
     {
-        Revision at; // Of a vanished key: of the batch that told it.
+        Revision at; // For a deletion, the end revision of the batch that reported it.
         std::optional<StoredValue> stored;
     };
 
-    void forget(Revision at, const StoreKey &key);
+    void discard(Revision at, const StoreKey &key);
     static std::size_t sizeOf(const StoreKey &key, const Change &change);
 
     ChangeLogOptions m_options;
-    Revision m_since; // Changes up to here may be missing.
+    Revision m_startsAfter; // Changes up to here may be missing.
     Revision m_upTo;
     std::map<StoreKey, Change> m_changes;
-    std::map<std::pair<Revision, StoreKey>, std::size_t> m_order; // Of exactly those; their sizes.
+    // Size in bytes of each entry of m_changes, oldest first. Invariant: the same keys.
+    std::map<std::pair<Revision, StoreKey>, std::size_t> m_sizeByRevision;
     std::size_t m_bytes = 0; // Sum of the sizes.
 };
 
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-const char *toString(NewsVerdict verdict)
+const char *toString(UpdateVerdict verdict)
 {
     switch (verdict) {
-    case NewsVerdict::News:
+    case UpdateVerdict::Update:
         return "news";
-    case NewsVerdict::NoPicture:
+    case UpdateVerdict::NoView:
         return "no_picture";
-    case NewsVerdict::StoreLost:
+    case UpdateVerdict::StoreLost:
         return "store_lost";
-    case NewsVerdict::TooOld:
+    case UpdateVerdict::TooOld:
         return "too_old";
-    case NewsVerdict::TooMuch:
+    case UpdateVerdict::TooLarge:
         return "too_much";
     }
     return "unknown";
 }
 
-ErrorKind kindOf(NewsVerdict verdict)
+ErrorKind kindOf(UpdateVerdict verdict)
 {
     switch (verdict) {
-    case NewsVerdict::TooOld:
+    case UpdateVerdict::TooOld:
         return ErrorKind::NotFound;
-    case NewsVerdict::TooMuch:
+    case UpdateVerdict::TooLarge:
         return ErrorKind::Overloaded;
     default:
         return ErrorKind::Unavailable;
@@ -44,28 +44,29 @@
 RelayNode::RelayNode(IoContext &io, const Clock &clock, RelayNodeOptions options, DecisionLog &log,
                      Metrics &metrics)
     : m_io(io), m_clock(clock), m_options(std::move(options)), m_log(log), m_metrics(metrics),
-      m_desk(m_options.desk, m_options.log), m_loads(m_options.loads), m_answered(io), m_changed(io)
+      m_updateFeed(m_options.feed, m_options.log), m_loads(m_options.loads), m_answered(io),
+      m_changed(io)
 { }
 
 void RelayNode::run(Yield yield)
 {
     while (!m_stopping) {
         const MonotonicTime now = m_clock.now();
-        const MonotonicTime next = m_desk.nextDue().value_or(now + m_options.idle);
+        const MonotonicTime next = m_updateFeed.nextDeadline().value_or(now + m_options.idle);
         if (next > now)
             m_changed.wait(std::min(next - now, m_options.idle), yield);
-        m_desk.setServing(isRelay()); // A reserve's time may be over.
+        m_updateFeed.setServing(isRelay()); // A reserve's time may be over.
         giveAnswers();
     }
 }
 
 void RelayNode::giveAnswers()
 {
-    for (const NewsAnswer &answer : m_desk.due(m_clock.now())) {
+    for (const UpdateResponse &answer : m_updateFeed.takeDue(m_clock.now())) {
         m_metrics.count(
-            MetricName("relay_answers_total").with("verdict", toString(answer.news.verdict)));
+            MetricName("relay_answers_total").with("verdict", toString(answer.update.verdict)));
         if (m_network != nullptr)
-            m_network->send(answer.to, answer.news);
+            m_network->send(answer.to, answer.update);
     }
 }
 
@@ -122,7 +123,7 @@
     for (RelayCandidate &reserve : orderRelays(self, std::move(choice.reserves)))
         m_relays.push_back(std::move(reserve));
     findOthers(daemons);
-    m_desk.setServing(isRelay());
+    m_updateFeed.setServing(isRelay());
     openLinks();
 }
 
@@ -211,34 +212,34 @@
 {
     if (!m_takeServerNews)
         return;
-    const ServerNewsMessage news { m_takeServerNews() };
-    if (news.news.empty())
+    const ServerUpdateMessage update { m_takeServerNews() };
+    if (update.update.empty())
         return;
     if (!isRelay() && !m_relays.empty()) {
-        tellRelay(news);
+        tellRelay(update);
         return;
     }
     std::set<DaemonId> told;
     for (const std::vector<RelayCandidate> *daemons : { &m_otherRelays, &m_unrelayed }) {
         for (const RelayCandidate &daemon : *daemons) {
-            sendOrCall(daemon, news);
+            sendOrCall(daemon, update);
             told.insert(daemon.daemon);
         }
     }
     for (const DaemonId &peer : m_network->linkedPeers()) {
         if (told.count(peer) == 0)
-            m_network->send(peer, news);
+            m_network->send(peer, update);
     }
 }
 
 // Where the bounds leave no time for a relay's word, nobody asks it for the store's changes, and
 // the link to it is there for news of servers only.
-void RelayNode::tellRelay(const ServerNewsMessage &news)
+void RelayNode::tellRelay(const ServerUpdateMessage &update)
 {
-    if (!m_answering.empty() && m_network->send(m_answering, news))
+    if (!m_answering.empty() && m_network->send(m_answering, update))
         return;
     if (const RelayCandidate *relay = firstRelay(m_clock.now(), false))
-        sendOrCall(*relay, news);
+        sendOrCall(*relay, update);
 }
 
 bool RelayNode::servesAsReserve() const
@@ -303,10 +304,11 @@
     const RelayCandidate relay = *first; // The list may change while this waits.
     if (!awaitLink(relay, yield))
         return Error(ErrorKind::Unavailable, "there is no link to the relay yet");
-    const MonotonicTime askedAt = m_clock.now();
+    const MonotonicTime requestedAt = m_clock.now();
     m_question = { CorrelationId(++m_lastQuestion), std::nullopt };
-    m_network->send(relay.daemon, NewsRequestMessage { m_question.id, after, wait, storeLost });
-    const MonotonicTime latest = askedAt + wait + m_options.lateness;
+    m_network->send(relay.daemon,
+                    StoreUpdateRequestMessage { m_question.id, after, wait, storeLost });
+    const MonotonicTime latest = requestedAt + wait + m_options.lateness;
     while (!m_question.answer && m_clock.now() < latest && m_network->linked(relay.daemon))
         m_answered.wait(latest - m_clock.now(), yield);
     if (!m_question.answer) {
@@ -314,34 +316,34 @@
         m_network->drop(relay.daemon);
         return Error(ErrorKind::Unknown, "the relay gave no answer in time");
     }
-    return understand(relay.daemon, *m_question.answer, askedAt);
+    return understand(relay.daemon, *m_question.answer, requestedAt);
 }
 
-Result<RelayedNews> RelayNode::understand(const DaemonId &relay, const NewsMessage &news,
-                                          MonotonicTime askedAt)
+Result<RelayedNews> RelayNode::understand(const DaemonId &relay, const StoreUpdateMessage &update,
+                                          MonotonicTime requestedAt)
 {
-    if (news.verdict == NewsVerdict::NoPicture)
-        avoid(relay, toString(news.verdict), m_options.shortAvoidance);
-    if (news.verdict == NewsVerdict::StoreLost)
-        avoid(relay, toString(news.verdict), m_options.avoidance, true);
-    if (news.verdict != NewsVerdict::News)
-        return Error(kindOf(news.verdict),
-                     std::string("the relay answered ") + toString(news.verdict));
+    if (update.verdict == UpdateVerdict::NoView)
+        avoid(relay, toString(update.verdict), m_options.shortAvoidance);
+    if (update.verdict == UpdateVerdict::StoreLost)
+        avoid(relay, toString(update.verdict), m_options.avoidance, true);
+    if (update.verdict != UpdateVerdict::Update)
+        return Error(kindOf(update.verdict),
+                     std::string("the relay answered ") + toString(update.verdict));
     m_answering = relay;
     RelayedNews relayed;
-    relayed.batch.upTo = news.upTo;
-    relayed.batch.changes = news.changes;
-    relayed.batch.reachesPresent = !news.moreFollow;
-    relayed.provenAt = provenMoment(news, askedAt, m_clock.now());
+    relayed.batch.upTo = update.upTo;
+    relayed.batch.changes = update.changes;
+    relayed.batch.reachesPresent = !update.moreFollow;
+    relayed.provenAt = localFreshnessTime(update, requestedAt, m_clock.now());
     return relayed;
 }
 
 void RelayNode::onMessage(const DaemonId &from, const PeerMessage &message)
 {
-    if (const auto *request = std::get_if<NewsRequestMessage>(&message)) {
+    if (const auto *request = std::get_if<StoreUpdateRequestMessage>(&message)) {
         m_askedAt = m_clock.now();
-        m_desk.setServing(isRelay());
-        m_desk.ask(from, *request, m_clock.now());
+        m_updateFeed.setServing(isRelay());
+        m_updateFeed.addRequest(from, *request, m_clock.now());
         m_changed.notify();
         return;
     }
@@ -357,15 +359,15 @@
             m_onOthersLoad(withoutOwn(sum->load, m_toldLoad));
         return;
     }
-    if (const auto *servers = std::get_if<ServerNewsMessage>(&message)) {
+    if (const auto *servers = std::get_if<ServerUpdateMessage>(&message)) {
         if (m_onServerNews)
-            m_onServerNews(servers->news);
+            m_onServerNews(servers->update);
         return;
     }
-    const auto *news = std::get_if<NewsMessage>(&message);
-    if (news == nullptr || news->id != m_question.id)
+    const auto *update = std::get_if<StoreUpdateMessage>(&message);
+    if (update == nullptr || update->id != m_question.id)
         return; // Late, or of another kind of daemon.
-    m_question.answer = *news;
+    m_question.answer = *update;
     m_answered.notify();
 }
 
@@ -374,24 +376,24 @@
     m_metrics.set(MetricName("relay_links"), static_cast<double>(m_network->linkedPeers().size()));
     m_answered.notify(); // If it is down, a question to it has no answer to wait for.
     if (!up)
-        m_desk.forget(peer);
+        m_updateFeed.cancelRequest(peer);
 }
 
 void RelayNode::pictureListed(Revision upTo, MonotonicTime provenAt)
 {
-    m_desk.listed(upTo, provenAt);
+    m_updateFeed.onListed(upTo, provenAt);
     m_changed.notify();
 }
 
 void RelayNode::pictureAdvanced(const WatchBatch &batch, MonotonicTime provenAt)
 {
-    m_desk.advanced(batch, provenAt);
+    m_updateFeed.onAdvanced(batch, provenAt);
     m_changed.notify();
 }
 
 void RelayNode::pictureStopped()
 {
-    m_desk.stopped();
+    m_updateFeed.onStoreLost();
     m_changed.notify();
 }
 
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -21,8 +21,8 @@
 #include "ramphinge/observe/metrics.h"
 #include "ramphinge/peers/peer_network.h"
 #include "ramphinge/relay/load_board.h"
-#include "ramphinge/relay/news_desk.h"
 #include "ramphinge/relay/relay_choice.h"
+#include "ramphinge/relay/update_feed.h"
 #include "ramphinge/store/news_source.h"
 
 namespace ramphinge {
@@ -31,7 +31,7 @@
 {
     RelayCandidate self;
     RelayChoiceOptions choice;
-    NewsDeskOptions desk;
+    UpdateFeedOptions feed;
     ChangeLogOptions log;
     // An answer that comes so long after the time that was to be waited is lost: within a zone one
     // takes 3 ms, and up to 300 ms where a relay's processor is busy.
@@ -114,7 +114,7 @@
     struct Question
     {
         CorrelationId id;
-        std::optional<NewsMessage> answer;
+        std::optional<StoreUpdateMessage> answer;
     };
 
     void onMessage(const DaemonId &from, const PeerMessage &message) override;
@@ -123,7 +123,7 @@
     void tellLoadsAsRelay(const SharedLoad &own);
     void tellLoadAsFollower(SharedLoad own);
     void tellServerNews();
-    void tellRelay(const ServerNewsMessage &news);
+    void tellRelay(const ServerUpdateMessage &update);
     // Calls the daemon if there is no link yet.
     void sendOrCall(const RelayCandidate &daemon, const PeerMessage &message);
     void giveAnswers();
@@ -133,8 +133,8 @@
     const RelayCandidate *firstRelay(MonotonicTime now, bool storeLost) const;
     // Waits a moment for a link that is being made.
     bool awaitLink(const RelayCandidate &relay, Yield yield);
-    Result<RelayedNews> understand(const DaemonId &relay, const NewsMessage &news,
-                                   MonotonicTime askedAt);
+    Result<RelayedNews> understand(const DaemonId &relay, const StoreUpdateMessage &update,
+                                   MonotonicTime requestedAt);
     void avoid(const DaemonId &relay, const char *why, Duration length, bool storeLost = false);
 
     IoContext &m_io;
@@ -142,7 +142,7 @@
     RelayNodeOptions m_options;
     DecisionLog &m_log;
     Metrics &m_metrics;
-    NewsDesk m_desk;
+    UpdateFeed m_updateFeed;
     std::string m_key; // Of the links; empty until it is known.
     std::unique_ptr<PeerNetwork> m_network; // Null until the links are opened.
     // Of the zone, in the order in which this daemon asks them; the reserves last.
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -43,14 +43,14 @@
     }
 
     // Until the link stands.
-    Result<RelayedNews> ask(IoContext &io, Revision after, Yield yield)
+    Result<RelayedNews> askUntilLinked(IoContext &io, Revision after, Yield yield)
     {
-        Result<RelayedNews> news = leaf.next(after, Duration::zero(), false, yield);
-        for (int i = 0; i < 400 && !news.ok() && isNoLink(news.error()); ++i) {
+        Result<RelayedNews> update = leaf.next(after, Duration::zero(), false, yield);
+        for (int i = 0; i < 400 && !update.ok() && isNoLink(update.error()); ++i) {
             sleepFor(io, std::chrono::milliseconds(5), yield); // For the loop to make it.
-            news = leaf.next(after, Duration::zero(), false, yield);
+            update = leaf.next(after, Duration::zero(), false, yield);
         }
-        return news;
+        return update;
     }
 
     // The leaf follows the relay from now on.
@@ -61,7 +61,7 @@
             node->setKey("secret");
         spawnCoroutine(io, [this](Yield inner) { relay.run(inner); });
         relay.pictureListed(Revision(4), clock.now());
-        CPPUNIT_ASSERT(ask(io, Revision(4), yield).ok());
+        CPPUNIT_ASSERT(askUntilLinked(io, Revision(4), yield).ok());
     }
 
     static bool isNoLink(const Error &error)
@@ -108,15 +108,16 @@
             pair.relay.pictureListed(Revision(4), pair.clock.now());
             pair.relay.pictureAdvanced({ Revision(5), true, { put("k", "v", 5) } },
                                        pair.clock.now());
-            const Result<RelayedNews> news = pair.ask(io, Revision(4), yield);
-            CPPUNIT_ASSERT(news.ok());
-            CPPUNIT_ASSERT_EQUAL(Revision(5), news.value().batch.upTo);
-            CPPUNIT_ASSERT_EQUAL(std::string("v"), news.value().batch.changes.at(0).stored->value);
-            CPPUNIT_ASSERT(news.value().provenAt <= pair.clock.now());
-            const Result<RelayedNews> old = pair.ask(io, Revision(3), yield);
+            const Result<RelayedNews> update = pair.askUntilLinked(io, Revision(4), yield);
+            CPPUNIT_ASSERT(update.ok());
+            CPPUNIT_ASSERT_EQUAL(Revision(5), update.value().batch.upTo);
+            CPPUNIT_ASSERT_EQUAL(std::string("v"),
+                                 update.value().batch.changes.at(0).stored->value);
+            CPPUNIT_ASSERT(update.value().provenAt <= pair.clock.now());
+            const Result<RelayedNews> old = pair.askUntilLinked(io, Revision(3), yield);
             CPPUNIT_ASSERT(old.error().kind() == ErrorKind::NotFound);
             pair.relay.pictureStopped();
-            const Result<RelayedNews> lost = pair.ask(io, Revision(5), yield);
+            const Result<RelayedNews> lost = pair.askUntilLinked(io, Revision(5), yield);
             CPPUNIT_ASSERT(lost.error().kind() == ErrorKind::Unavailable);
             CPPUNIT_ASSERT(!pair.leaf.canAsk(false)); // Passed over for a while.
             CPPUNIT_ASSERT(pair.leaf.canAsk(true)); // But not by one that has lost it too.
@@ -141,8 +142,8 @@
                 sleepFor(io, std::chrono::milliseconds(50), inner);
                 pair->relay.close();
             });
-            const Result<RelayedNews> news = pair->ask(io, Revision(4), yield);
-            CPPUNIT_ASSERT(news.error().kind() == ErrorKind::Unknown);
+            const Result<RelayedNews> update = pair->askUntilLinked(io, Revision(4), yield);
+            CPPUNIT_ASSERT(update.error().kind() == ErrorKind::Unknown);
             CPPUNIT_ASSERT(!pair->leaf.canAsk(false));
         });
     }
@@ -157,9 +158,9 @@
             pair.leaf.setKey("another");
             pair.relay.pictureListed(Revision(4), pair.clock.now());
             for (int i = 0; i < 20; ++i) {
-                const Result<RelayedNews> news =
+                const Result<RelayedNews> update =
                     pair.leaf.next(Revision(4), Duration::zero(), false, yield);
-                CPPUNIT_ASSERT(!news.ok());
+                CPPUNIT_ASSERT(!update.ok());
                 sleepFor(io, std::chrono::milliseconds(2), yield); // For the loop to try a link.
             }
             pair.clock.advance(std::chrono::seconds(1));
@@ -260,16 +261,16 @@
             CPPUNIT_ASSERT(!follower.next(Revision(4), Duration::zero(), false, yield).ok());
             pair.clock.advance(std::chrono::seconds(1));
             CPPUNIT_ASSERT(!follower.next(Revision(4), Duration::zero(), false, yield).ok());
-            Result<RelayedNews> news = Error(ErrorKind::Unknown, "not asked");
+            Result<RelayedNews> update = Error(ErrorKind::Unknown, "not asked");
             for (int i = 0; i < 400 && !reserve.isRelay(); ++i) {
-                news = follower.next(Revision(4), Duration::zero(), false, yield);
+                update = follower.next(Revision(4), Duration::zero(), false, yield);
                 sleepFor(io, std::chrono::milliseconds(5), yield); // For the loop to make the link.
             }
             CPPUNIT_ASSERT(reserve.isRelay()); // It was asked.
             reserve.pictureAdvanced({ Revision(5), true, {} }, pair.clock.now());
             pair.clock.advance(RelayNodeOptions().shortAvoidance);
-            news = follower.next(Revision(5), Duration::zero(), false, yield);
-            CPPUNIT_ASSERT(news.ok());
+            update = follower.next(Revision(5), Duration::zero(), false, yield);
+            CPPUNIT_ASSERT(update.ok());
             pair.clock.advance(RelayNodeOptions().reserveServes);
             CPPUNIT_ASSERT(!reserve.isRelay());
         });
@@ -278,7 +279,7 @@
 private:
     static void expectServerNewsExchanged(IoContext &io, LinkedPair &pair, Yield yield)
     {
-        const auto newsOf = [](const char *host) {
+        const auto updateOf = [](const char *host) {
             return ServerNews { { { { HostId(host), ZoneId("z") },
                                     RequestRate(2),
                                     std::chrono::milliseconds(30) } },
@@ -286,10 +287,10 @@
         };
         ServerNews heardByLeaf;
         ServerNews heardByRelay;
-        pair.relay.shareServerNews([&] { return newsOf("of relay"); },
-                                   [&](const auto &news) { heardByRelay = news; });
-        pair.leaf.shareServerNews([&] { return newsOf("of leaf"); },
-                                  [&](const auto &news) { heardByLeaf = news; });
+        pair.relay.shareServerNews([&] { return updateOf("of relay"); },
+                                   [&](const auto &update) { heardByRelay = update; });
+        pair.leaf.shareServerNews([&] { return updateOf("of leaf"); },
+                                  [&](const auto &update) { heardByLeaf = update; });
         for (int i = 0; i < 400 && (heardByLeaf.empty() || heardByRelay.empty()); ++i) {
             pair.leaf.exchangeLoads();
             pair.relay.exchangeLoads();
--- a/ramphinge/relay/relay_test.cpp
+++ b/ramphinge/relay/relay_test.cpp
@@ -7,8 +7,8 @@
 
 #include "ramphinge/base/random.h"
 #include "ramphinge/relay/load_board.h"
-#include "ramphinge/relay/news_desk.h"
 #include "ramphinge/relay/relay_choice.h"
+#include "ramphinge/relay/update_feed.h"
 #include "ramphinge/testing/cppunit_main.h"
 
 using namespace ramphinge;
@@ -82,15 +82,15 @@
 // Takes a few changes at a time; false if that doesn't lead on.
 bool applyInParts(Picture &picture, const ChangeLog &log, Revision after)
 {
-    std::size_t mostBytes = 6;
+    std::size_t maxBytes = 6;
     while (true) {
-        const std::optional<LoggedChanges> part = log.changesAfter(after, mostBytes);
+        const std::optional<LoggedChanges> part = log.changesAfter(after, maxBytes);
         if (!part) { // What one revision changed is larger.
-            mostBytes *= 2;
+            maxBytes *= 2;
             continue;
         }
         applyTo(picture, part->changes);
-        if (part->reachesEnd)
+        if (part->isComplete)
             return part->upTo == log.upTo();
         if (part->upTo <= after)
             return false;
@@ -98,7 +98,7 @@
     }
 }
 
-NewsRequestMessage request(int id, int after, Duration wait, bool storeLost = false)
+StoreUpdateRequestMessage request(int id, int after, Duration wait, bool storeLost = false)
 {
     return { CorrelationId(id), Revision(after), wait, storeLost };
 }
@@ -120,14 +120,14 @@
 // One relay and one daemon that follows it, over a network that delays and loses messages, with
 // pauses of either and a relay that is cut off from the store. Returns what broke the promise that
 // a proof makes: that the picture is as new as the store was at that moment, or newer.
-std::vector<std::string> playHop(std::uint64_t seed, Fault fault, NewsDeskOptions options = {})
+std::vector<std::string> playHop(std::uint64_t seed, Fault fault, UpdateFeedOptions options = {})
 {
     Random random(seed);
     RecordedStore store;
-    NewsDesk desk(options, {});
-    desk.setServing(true);
+    UpdateFeed feed(options, {});
+    feed.setServing(true);
     MonotonicTime now(std::chrono::seconds(1));
-    desk.listed(Revision(0), now);
+    feed.onListed(Revision(0), now);
     struct OwnWatch
     {
         MonotonicTime startedAt;
@@ -137,15 +137,15 @@
     struct Underway
     {
         MonotonicTime arrives;
-        NewsMessage news;
-        NewsRequestMessage request;
+        StoreUpdateMessage update;
+        StoreUpdateRequestMessage request;
         bool isAnswer;
     };
     std::vector<Underway> messages;
     Revision relayUpTo;
     Picture leaf;
     Revision leafUpTo;
-    MonotonicTime askedAt;
+    MonotonicTime requestedAt;
     bool asks = false;
     int id = 0;
     MonotonicTime relayAwakeAt;
@@ -167,17 +167,17 @@
                 // Its content is that of some moment between its start and its end.
                 const WatchBatch batch = store.since(relayUpTo);
                 relayUpTo = batch.upTo;
-                desk.advanced(batch,
-                              fault == Fault::DatedByTheEndOfTheWatch ? now + Milliseconds(400)
-                                                                      : watch->startedAt);
+                feed.onAdvanced(batch,
+                                fault == Fault::DatedByTheEndOfTheWatch ? now + Milliseconds(400)
+                                                                        : watch->startedAt);
                 watch.reset();
             }
-            for (const NewsAnswer &answer : desk.due(now))
-                messages.push_back({ now + delay(), answer.news, {}, true });
+            for (const UpdateResponse &answer : feed.takeDue(now))
+                messages.push_back({ now + delay(), answer.update, {}, true });
         }
-        if (!asks || now - askedAt > std::chrono::seconds(2)) {
+        if (!asks || now - requestedAt > std::chrono::seconds(2)) {
             asks = true;
-            askedAt = now;
+            requestedAt = now;
             messages.push_back({ now + delay(),
                                  {},
                                  request(++id, static_cast<int>(leafUpTo.count()),
@@ -190,20 +190,20 @@
             if (message.arrives > now || held) {
                 rest.push_back(message);
             } else if (!message.isAnswer) {
-                desk.ask(DaemonId("leaf"), message.request, now);
-            } else if (message.news.id == CorrelationId(id)) {
+                feed.addRequest(DaemonId("leaf"), message.request, now);
+            } else if (message.update.id == CorrelationId(id)) {
                 asks = false;
-                if (message.news.verdict != NewsVerdict::News)
+                if (message.update.verdict != UpdateVerdict::Update)
                     continue;
-                applyTo(leaf, message.news.changes);
-                leafUpTo = std::max(leafUpTo, message.news.upTo);
-                const MonotonicTime base = fault == Fault::DatedByTheAnswer ? now : askedAt;
-                const MonotonicTime proof = provenMoment(message.news, base, now);
+                applyTo(leaf, message.update.changes);
+                leafUpTo = std::max(leafUpTo, message.update.upTo);
+                const MonotonicTime base = fault == Fault::DatedByTheAnswer ? now : requestedAt;
+                const MonotonicTime proof = localFreshnessTime(message.update, base, now);
                 const Revision owed = store.revisionAt(proof);
                 if (leafUpTo < owed)
                     broken.push_back("proved " + std::to_string(owed.count()) + ", has "
                                      + std::to_string(leafUpTo.count()));
-                const bool isWhole = !message.news.moreFollow; // A part holds keys' newest only.
+                const bool isWhole = !message.update.moreFollow; // A part holds keys' newest only.
                 if (isWhole && leaf != store.stateOf(leafUpTo))
                     broken.push_back("the picture is not that of its revision");
             }
@@ -277,11 +277,11 @@
         CPPUNIT_ASSERT(!log.reachesBackTo(Revision(10)));
         CPPUNIT_ASSERT(log.reachesBackTo(Revision(11)));
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), log.changesAfter(Revision(11), 1000)->changes.size());
-        CPPUNIT_ASSERT(log.changesAfter(Revision(11), 1000)->reachesEnd);
+        CPPUNIT_ASSERT(log.changesAfter(Revision(11), 1000)->isComplete);
         const LoggedChanges first = *log.changesAfter(Revision(11), 20);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), first.changes.size());
         CPPUNIT_ASSERT_EQUAL(Revision(12), first.upTo);
-        CPPUNIT_ASSERT(!first.reachesEnd);
+        CPPUNIT_ASSERT(!first.isComplete);
         CPPUNIT_ASSERT(!log.changesAfter(Revision(11), 10));
         CPPUNIT_ASSERT(log.hasChangesAfter(Revision(12)));
         CPPUNIT_ASSERT(!log.hasChangesAfter(Revision(13)));
@@ -355,102 +355,105 @@
     void newsAreGivenAtOnceOthersWait()
     {
         MonotonicTime now(std::chrono::seconds(50));
-        NewsDesk desk = servingDesk(now);
+        UpdateFeed feed = servingFeed(now);
         const DaemonId early("early");
         const DaemonId late("late");
-        desk.ask(early, request(1, 10, std::chrono::seconds(1)), now);
-        CPPUNIT_ASSERT(desk.due(now).empty());
-        CPPUNIT_ASSERT(*desk.nextDue() == now + std::chrono::seconds(1));
+        feed.addRequest(early, request(1, 10, std::chrono::seconds(1)), now);
+        CPPUNIT_ASSERT(feed.takeDue(now).empty());
+        CPPUNIT_ASSERT(*feed.nextDeadline() == now + std::chrono::seconds(1));
         now += std::chrono::milliseconds(400);
-        desk.advanced({ Revision(12), true, { put("k", "v", 12) } },
-                      now - std::chrono::milliseconds(100));
-        const std::vector<NewsAnswer> answers = desk.due(now);
+        feed.onAdvanced({ Revision(12), true, { put("k", "v", 12) } },
+                        now - std::chrono::milliseconds(100));
+        const std::vector<UpdateResponse> answers = feed.takeDue(now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), answers.size());
         CPPUNIT_ASSERT_EQUAL(early, answers[0].to);
-        CPPUNIT_ASSERT(answers[0].news.verdict == NewsVerdict::News);
-        CPPUNIT_ASSERT_EQUAL(Revision(12), answers[0].news.upTo);
-        CPPUNIT_ASSERT(answers[0].news.provenBefore == -std::chrono::milliseconds(300));
-        desk.ask(late, request(1, 12, std::chrono::milliseconds(200)), now);
-        CPPUNIT_ASSERT(desk.due(now).empty());
+        CPPUNIT_ASSERT(answers[0].update.verdict == UpdateVerdict::Update);
+        CPPUNIT_ASSERT_EQUAL(Revision(12), answers[0].update.upTo);
+        CPPUNIT_ASSERT(answers[0].update.staleness == -std::chrono::milliseconds(300));
+        feed.addRequest(late, request(1, 12, std::chrono::milliseconds(200)), now);
+        CPPUNIT_ASSERT(feed.takeDue(now).empty());
         now += std::chrono::milliseconds(200);
-        const std::vector<NewsAnswer> none = desk.due(now);
+        const std::vector<UpdateResponse> none = feed.takeDue(now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), none.size());
-        CPPUNIT_ASSERT(none[0].news.changes.empty());
-        CPPUNIT_ASSERT(none[0].news.provenBefore == std::chrono::milliseconds(100));
+        CPPUNIT_ASSERT(none[0].update.changes.empty());
+        CPPUNIT_ASSERT(none[0].update.staleness == std::chrono::milliseconds(100));
     }
 
     void whoeverIsNoUseSaysSoAtOnce()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        NewsDesk idle({}, {});
-        idle.listed(Revision(10), now);
+        UpdateFeed idle({}, {});
+        idle.onListed(Revision(10), now);
         CPPUNIT_ASSERT(verdictOf(idle, request(1, 10, std::chrono::seconds(1)), now)
-                       == NewsVerdict::NoPicture);
-        NewsDesk desk = servingDesk(now);
-        CPPUNIT_ASSERT(verdictOf(desk, request(1, 9, std::chrono::seconds(1)), now)
-                       == NewsVerdict::TooOld);
-        desk.ask(DaemonId("waits"), request(1, 10, std::chrono::seconds(1)), now);
-        CPPUNIT_ASSERT(desk.due(now).empty());
-        desk.stopped(); // Those that wait learn of it too.
-        CPPUNIT_ASSERT(desk.due(now).at(0).news.verdict == NewsVerdict::StoreLost);
+                       == UpdateVerdict::NoView);
+        UpdateFeed feed = servingFeed(now);
+        CPPUNIT_ASSERT(verdictOf(feed, request(1, 9, std::chrono::seconds(1)), now)
+                       == UpdateVerdict::TooOld);
+        feed.addRequest(DaemonId("waits"), request(1, 10, std::chrono::seconds(1)), now);
+        CPPUNIT_ASSERT(feed.takeDue(now).empty());
+        feed.onStoreLost(); // Those that wait learn of it too.
+        CPPUNIT_ASSERT(feed.takeDue(now).at(0).update.verdict == UpdateVerdict::StoreLost);
     }
 
     void askerWithoutItsStoreWaitsForTheRelays()
     {
         MonotonicTime now(std::chrono::seconds(50));
-        NewsDesk desk = servingDesk(now);
-        desk.stopped();
-        desk.ask(DaemonId("d"), request(1, 10, std::chrono::seconds(1), true), now);
-        CPPUNIT_ASSERT(desk.due(now).empty());
+        UpdateFeed feed = servingFeed(now);
+        feed.onStoreLost();
+        feed.addRequest(DaemonId("d"), request(1, 10, std::chrono::seconds(1), true), now);
+        CPPUNIT_ASSERT(feed.takeDue(now).empty());
         now += std::chrono::milliseconds(300);
-        desk.advanced({ Revision(10), true, {} }, now);
-        const std::vector<NewsAnswer> answers = desk.due(now);
-        CPPUNIT_ASSERT(answers.at(0).news.verdict == NewsVerdict::News); // Though nothing changed.
-        desk.stopped();
-        desk.ask(DaemonId("d"), request(2, 10, std::chrono::seconds(1), true), now);
-        CPPUNIT_ASSERT(desk.due(now + std::chrono::seconds(1)).at(0).news.verdict
-                       == NewsVerdict::StoreLost);
+        feed.onAdvanced({ Revision(10), true, {} }, now);
+        const std::vector<UpdateResponse> answers = feed.takeDue(now);
+        CPPUNIT_ASSERT(answers.at(0).update.verdict
+                       == UpdateVerdict::Update); // Though nothing changed.
+        feed.onStoreLost();
+        feed.addRequest(DaemonId("d"), request(2, 10, std::chrono::seconds(1), true), now);
+        CPPUNIT_ASSERT(feed.takeDue(now + std::chrono::seconds(1)).at(0).update.verdict
+                       == UpdateVerdict::StoreLost);
     }
 
     void tooMuchNewsGoByTheStore()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        NewsDesk desk = servingDesk(now);
-        const std::string large(NewsDeskOptions().mostBytes, 'x');
-        desk.advanced({ Revision(11), true, { put("big", large, 11) } }, now);
-        CPPUNIT_ASSERT(verdictOf(desk, request(1, 10, std::chrono::seconds(1)), now)
-                       == NewsVerdict::TooMuch);
+        UpdateFeed feed = servingFeed(now);
+        const std::string large(UpdateFeedOptions().maxBytes, 'x');
+        feed.onAdvanced({ Revision(11), true, { put("big", large, 11) } }, now);
+        CPPUNIT_ASSERT(verdictOf(feed, request(1, 10, std::chrono::seconds(1)), now)
+                       == UpdateVerdict::TooLarge);
     }
 
     void newRelayKnowsOnlyWhatCameSince()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        NewsDesk desk({}, {});
-        desk.listed(Revision(10), now);
-        desk.advanced({ Revision(11), true, { put("k", "v", 11) } }, now);
-        desk.setServing(true);
-        CPPUNIT_ASSERT(verdictOf(desk, request(1, 10, Duration::zero()), now)
-                       == NewsVerdict::NoPicture);
-        desk.advanced({ Revision(12), true, { put("k", "w", 12) } }, now);
-        CPPUNIT_ASSERT(verdictOf(desk, request(1, 11, Duration::zero()), now)
-                       == NewsVerdict::TooOld);
-        CPPUNIT_ASSERT(verdictOf(desk, request(1, 12, Duration::zero()), now) == NewsVerdict::News);
+        UpdateFeed feed({}, {});
+        feed.onListed(Revision(10), now);
+        feed.onAdvanced({ Revision(11), true, { put("k", "v", 11) } }, now);
+        feed.setServing(true);
+        CPPUNIT_ASSERT(verdictOf(feed, request(1, 10, Duration::zero()), now)
+                       == UpdateVerdict::NoView);
+        feed.onAdvanced({ Revision(12), true, { put("k", "w", 12) } }, now);
+        CPPUNIT_ASSERT(verdictOf(feed, request(1, 11, Duration::zero()), now)
+                       == UpdateVerdict::TooOld);
+        CPPUNIT_ASSERT(verdictOf(feed, request(1, 12, Duration::zero()), now)
+                       == UpdateVerdict::Update);
     }
 
     void waitingIsBounded()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        NewsDeskOptions options;
-        options.mostWaiting = 3;
-        NewsDesk desk(options, {});
-        desk.setServing(true);
-        desk.listed(Revision(10), now);
+        UpdateFeedOptions options;
+        options.maxPendingRequests = 3;
+        UpdateFeed feed(options, {});
+        feed.setServing(true);
+        feed.onListed(Revision(10), now);
         for (int i = 0; i < 9; ++i)
-            desk.ask(DaemonId("d" + std::to_string(i)), request(i, 10, std::chrono::hours(9)), now);
-        desk.ask(DaemonId("d0"), request(77, 10, std::chrono::hours(9)), now);
-        const std::vector<NewsAnswer> answers = desk.due(now + options.longestWait);
+            feed.addRequest(DaemonId("d" + std::to_string(i)),
+                            request(i, 10, std::chrono::hours(9)), now);
+        feed.addRequest(DaemonId("d0"), request(77, 10, std::chrono::hours(9)), now);
+        const std::vector<UpdateResponse> answers = feed.takeDue(now + options.maxWait);
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), answers.size());
-        CPPUNIT_ASSERT_EQUAL(CorrelationId(77), answers.back().news.id); // The later question.
+        CPPUNIT_ASSERT_EQUAL(CorrelationId(77), answers.back().update.id); // The later question.
     }
 
     void proofOverAHopIsNeverTooNew()
@@ -468,8 +471,8 @@
     {
         const bool sound = rc::check("news that are cut short prove nothing too new", [] {
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-            NewsDeskOptions options;
-            options.mostBytes = 8; // Two or three changes.
+            UpdateFeedOptions options;
+            options.maxBytes = 8; // Two or three changes.
             const std::vector<std::string> broken = playHop(seed, Fault::None, options);
             if (!broken.empty())
                 RC_FAIL(broken.front());
@@ -549,19 +552,19 @@
 
 private:
     // A relay whose picture begins at revision 10.
-    static NewsDesk servingDesk(MonotonicTime now)
+    static UpdateFeed servingFeed(MonotonicTime now)
     {
-        NewsDesk desk({}, {});
-        desk.setServing(true);
-        desk.listed(Revision(10), now);
-        return desk;
+        UpdateFeed feed({}, {});
+        feed.setServing(true);
+        feed.onListed(Revision(10), now);
+        return feed;
     }
 
-    static NewsVerdict verdictOf(NewsDesk &desk, const NewsRequestMessage &request,
-                                 MonotonicTime now)
+    static UpdateVerdict verdictOf(UpdateFeed &feed, const StoreUpdateRequestMessage &request,
+                                   MonotonicTime now)
     {
-        desk.ask(DaemonId("asks"), request, now);
-        return desk.due(now).at(0).news.verdict;
+        feed.addRequest(DaemonId("asks"), request, now);
+        return feed.takeDue(now).at(0).update.verdict;
     }
 };
 
--- /dev/null
+++ b/ramphinge/relay/update_feed.cpp
@@ -0,0 +1,126 @@
+// Answers followers' long polls for store changes: see update_feed.h.
+
+#include "ramphinge/relay/update_feed.h"
+
+#include <algorithm>
+
+namespace ramphinge {
+
+MonotonicTime localFreshnessTime(const StoreUpdateMessage &update, MonotonicTime requestedAt,
+                                 MonotonicTime now)
+{
+    return std::min(requestedAt - update.staleness, now);
+}
+
+void UpdateFeed::setServing(bool serving)
+{
+    if (m_serving == serving)
+        return;
+    m_serving = serving;
+    m_logStarted = false; // Earlier changes weren't logged: the next listing or batch restarts it.
+}
+
+void UpdateFeed::onListed(Revision upTo, MonotonicTime provenAt)
+{
+    m_log.restart(upTo);
+    m_logStarted = m_serving;
+    m_storeReachable = true;
+    m_provenAt = provenAt;
+}
+
+void UpdateFeed::onAdvanced(const WatchBatch &batch, MonotonicTime provenAt)
+{
+    m_storeReachable = true;
+    m_provenAt = provenAt;
+    if (!m_serving)
+        return;
+    if (m_logStarted) {
+        m_log.add(batch);
+        return;
+    }
+    m_log.restart(batch.upTo);
+    m_logStarted = true;
+}
+
+void UpdateFeed::addRequest(const DaemonId &from, const StoreUpdateRequestMessage &request,
+                            MonotonicTime now)
+{
+    cancelRequest(from);
+    if (m_pending.size() >= m_options.maxPendingRequests)
+        return; // The follower reads the store itself when no response comes in time.
+    const Duration wait = std::clamp(request.wait, Duration::zero(), m_options.maxWait);
+    m_pending.push_back({ from, request, now, now + wait });
+}
+
+void UpdateFeed::cancelRequest(const DaemonId &from)
+{
+    const auto isFromDaemon = [&from](const PendingRequest &pending) {
+        return pending.from == from;
+    };
+    m_pending.erase(std::remove_if(m_pending.begin(), m_pending.end(), isFromDaemon),
+                    m_pending.end());
+}
+
+std::optional<UpdateVerdict> UpdateFeed::declineReason(const PendingRequest &pending,
+                                                       MonotonicTime now) const
+{
+    if (!m_serving || !m_logStarted)
+        return UpdateVerdict::NoView;
+    const bool keepsWaiting = pending.request.storeLost && now < pending.deadline;
+    if (!m_storeReachable && !keepsWaiting)
+        return UpdateVerdict::StoreLost;
+    if (!m_log.reachesBackTo(pending.request.after))
+        return UpdateVerdict::TooOld;
+    return std::nullopt;
+}
+
+std::optional<StoreUpdateMessage> UpdateFeed::responseTo(const PendingRequest &pending,
+                                                         MonotonicTime now) const
+{
+    StoreUpdateMessage update;
+    update.id = pending.request.id;
+    if (const std::optional<UpdateVerdict> reason = declineReason(pending, now)) {
+        update.verdict = *reason;
+        return update;
+    }
+    const bool hasUpdate = m_storeReachable
+        && (pending.request.storeLost || m_log.hasChangesAfter(pending.request.after));
+    if (!hasUpdate && now < pending.deadline)
+        return std::nullopt;
+    std::optional<LoggedChanges> logged =
+        m_log.changesAfter(pending.request.after, m_options.maxBytes);
+    if (!logged) {
+        update.verdict = UpdateVerdict::TooLarge;
+        return update;
+    }
+    update.verdict = UpdateVerdict::Update;
+    update.upTo = logged->upTo;
+    update.moreFollow = !logged->isComplete;
+    update.staleness = update.moreFollow ? unknownStaleness : pending.requestedAt - m_provenAt;
+    update.changes = std::move(logged->changes);
+    return update;
+}
+
+std::vector<UpdateResponse> UpdateFeed::takeDue(MonotonicTime now)
+{
+    std::vector<UpdateResponse> responses;
+    std::vector<PendingRequest> stillPending;
+    for (PendingRequest &pending : m_pending) {
+        if (std::optional<StoreUpdateMessage> update = responseTo(pending, now))
+            responses.push_back({ pending.from, std::move(*update) });
+        else
+            stillPending.push_back(std::move(pending));
+    }
+    m_pending = std::move(stillPending);
+    return responses;
+}
+
+std::optional<MonotonicTime> UpdateFeed::nextDeadline() const
+{
+    std::optional<MonotonicTime> next;
+    for (const PendingRequest &pending : m_pending)
+        next = next ? std::min(*next, pending.deadline) : pending.deadline;
+    return next;
+}
+
+} // namespace ramphinge
