--- /dev/null
+++ b/ramphinge/relay/load_aggregator.cpp
@@ -0,0 +1,135 @@
+// Sums the loads of daemons: see load_aggregator.h.
+
+#include "ramphinge/relay/load_aggregator.h"
+
+#include <algorithm>
+
+#include "ramphinge/base/erase_if.h"
+
+namespace ramphinge {
+
+namespace {
+
+// Accumulates loads, by host and by model.
+class LoadAccumulator
+{
+public:
+    void add(const SharedLoad &load)
+    {
+        for (const PlaceLoad &added : load.places) {
+            PlaceLoad &place = m_places[added.host];
+            place.host = added.host;
+            place.running += added.running;
+            place.waitingPrompt += added.waitingPrompt;
+        }
+        for (const auto &[model, added] : load.work)
+            m_work[model] += added;
+    }
+
+    void add(const std::vector<SharedLoad> &loads)
+    {
+        for (const SharedLoad &load : loads)
+            add(load);
+    }
+
+    // Differences are clamped at zero.
+    void subtract(const SharedLoad &load)
+    {
+        for (const PlaceLoad &removed : load.places) {
+            const auto place = m_places.find(removed.host);
+            if (place == m_places.end())
+                continue;
+            place->second.running = std::max(0, place->second.running - removed.running);
+            place->second.waitingPrompt =
+                std::max<std::int64_t>(0, place->second.waitingPrompt - removed.waitingPrompt);
+        }
+        for (const auto &[model, removed] : load.work) {
+            ModelWork &work = m_work[model];
+            work.serverMilliseconds =
+                std::max(0.0, work.serverMilliseconds - removed.serverMilliseconds);
+            work.requests = std::max(0.0, work.requests - removed.requests);
+        }
+    }
+
+    SharedLoad result() const
+    {
+        SharedLoad load { {}, m_work };
+        for (const auto &[host, place] : m_places)
+            load.places.push_back(place);
+        return load;
+    }
+
+private:
+    std::map<HostId, PlaceLoad> m_places;
+    WorkByModel m_work;
+};
+
+} // namespace
+
+void LoadAggregator::setReport(Reports &reports, const DaemonId &from, SharedLoad load,
+                               MonotonicTime now)
+{
+    if (reports.size() >= m_options.maxReports)
+        eraseIf(reports, [&](const auto &entry) {
+            return now - entry.second.at > m_options.reportLifetime;
+        });
+    if (reports.size() >= m_options.maxReports && reports.count(from) == 0)
+        return;
+    reports[from] = { std::move(load), now };
+}
+
+void LoadAggregator::setFollowerLoad(const DaemonId &daemon, SharedLoad load, MonotonicTime now)
+{
+    setReport(m_followers, daemon, std::move(load), now);
+}
+
+void LoadAggregator::setRelayLoad(const DaemonId &relay, SharedLoad load, MonotonicTime now)
+{
+    setReport(m_relays, relay, std::move(load), now);
+}
+
+std::vector<DaemonId> LoadAggregator::followers(MonotonicTime now) const
+{
+    std::vector<DaemonId> daemons;
+    for (const auto &[daemon, report] : m_followers) {
+        if (now - report.at <= m_options.reportLifetime)
+            daemons.push_back(daemon);
+    }
+    return daemons;
+}
+
+std::vector<SharedLoad> LoadAggregator::freshLoads(const Reports &reports, MonotonicTime now) const
+{
+    std::vector<SharedLoad> loads;
+    for (const auto &[daemon, report] : reports) {
+        if (now - report.at <= m_options.reportLifetime)
+            loads.push_back(report.load);
+    }
+    return loads;
+}
+
+SharedLoad LoadAggregator::groupSum(const SharedLoad &own, MonotonicTime now) const
+{
+    LoadAccumulator sum;
+    sum.add(own);
+    sum.add(freshLoads(m_followers, now));
+    return sum.result();
+}
+
+SharedLoad LoadAggregator::totalSum(const SharedLoad &own, MonotonicTime now) const
+{
+    LoadAccumulator sum;
+    sum.add(groupSum(own, now));
+    sum.add(freshLoads(m_relays, now));
+    return sum.result();
+}
+
+SharedLoad subtractOwnLoad(const SharedLoad &total, const SharedLoad &own)
+{
+    LoadAccumulator rest;
+    rest.add(total);
+    rest.subtract(own);
+    return rest.result();
+}
+
+} // namespace ramphinge
--- a/ramphinge/relay/relay_choice.cpp
+++ b/ramphinge/relay/relay_choice.cpp
@@ -1,4 +1,4 @@
-// The choice of relays: see relay_choice.h.
+// Chooses the relays of a zone: see relay_choice.h.
 
 #include "ramphinge/relay/relay_choice.h"
 
@@ -21,16 +21,16 @@
 
 RelayCandidate parseCandidate(const DaemonId &daemon, const std::string &text)
 {
-    std::istringstream words(text);
+    std::istringstream fields(text);
     std::string zone;
     std::string links;
     RelayCandidate record;
     record.daemon = daemon;
-    words >> zone >> links;
+    fields >> zone >> links;
     record.zone = ZoneId(zone);
     if (const Result<Endpoint> endpoint = parseEndpoint(links); endpoint.ok())
         record.links = endpoint.value();
-    if (!(words >> record.processor))
+    if (!(fields >> record.processor))
         record.processor = 0;
     return record;
 }
@@ -53,16 +53,16 @@
     const int inZone = countInZone(daemons, zone);
     if (inZone < options.fewestDaemons)
         return {};
-    const int wanted =
+    const int relayCount =
         std::max(options.relaysPerZone,
-                 (inZone + options.mostDaemonsPerRelay - 1) / options.mostDaemonsPerRelay);
+                 (inZone + options.maxDaemonsPerRelay - 1) / options.maxDaemonsPerRelay);
     const auto rank = [](const RelayCandidate &daemon) {
         return std::make_tuple(-daemon.processor, stableHash(daemon.daemon.text()), daemon.daemon);
     };
     std::sort(candidates.begin(), candidates.end(),
               [&](const RelayCandidate &a, const RelayCandidate &b) { return rank(a) < rank(b); });
     const auto end = static_cast<std::ptrdiff_t>(candidates.size());
-    const std::ptrdiff_t relays = std::min<std::ptrdiff_t>(end, wanted);
+    const std::ptrdiff_t relays = std::min<std::ptrdiff_t>(end, relayCount);
     const std::ptrdiff_t reserves = std::min<std::ptrdiff_t>(end, relays + options.reservesPerZone);
     return { { candidates.begin(), candidates.begin() + relays },
              { candidates.begin() + relays, candidates.begin() + reserves } };
--- a/ramphinge/relay/relay_choice.h
+++ b/ramphinge/relay/relay_choice.h
@@ -1,6 +1,7 @@
-// Which daemons of an availability zone ask the store for the others. Everyone computes it from the
-// registrations that the store holds, so there is no election: two daemons with different pictures
-// may choose differently for a moment, which costs calls and breaks nothing.
+// Chooses the relays of an availability zone: the daemons that read the store on behalf of the
+// others. Each daemon computes the choice from the registrations in the store, so there is no
+// election. Two daemons with different views may choose differently for a short time; that costs
+// additional calls to the store but not correctness.
 
 #pragma once
 
@@ -11,54 +12,57 @@
 
 namespace ramphinge {
 
-// Part of a processor that a machine has.
+// Fraction of one processor that a machine has.
 using ProcessorShare = double;
 
-// What a daemon's registration says of it.
+// The contents of a daemon's registration.
 struct RelayCandidate
 {
     DaemonId daemon;
     ZoneId zone;
-    // Where other daemons link up; port 0 if it takes no links (also one of another version).
+    // Where the daemon accepts links from others. Port 0 if it accepts none; also set for a
+    // registration without a readable endpoint, as another version may write it.
     Endpoint links;
     ProcessorShare processor = 0;
 };
 
 std::string serializeCandidate(const RelayCandidate &record);
 
-// Whatever can't be read is left out; the zone comes first, so that a registration of just a zone
-// is one too.
+// Fields that can't be parsed keep their defaults. The zone comes first, so that a registration
+// that holds only a zone is valid.
 RelayCandidate parseCandidate(const DaemonId &daemon, const std::string &text);
 
 int countInZone(const std::vector<RelayCandidate> &daemons, const ZoneId &zone);
 
 struct RelayChoiceOptions
 {
-    // One that is lost costs its zone no more than the time to notice it, and the work of asking is
-    // spread.
+    // With two relays, the loss of one costs its followers only the time to detect it, and the load
+    // of requests is shared.
     int relaysPerZone = 2;
-    // Further ones that become relays while somebody asks them, since the first ones can't help.
-    // The store may turn a third of the machines away for seconds, relays among them; all daemons
-    // of their zone would ask the store then.
+    // Reserves act as relays while other daemons send them requests because the relays are
+    // unavailable. The store may be unreachable for a third of the machines for seconds, relays
+    // among them; without reserves all daemons of their zone would then read the store.
     int reservesPerZone = 2;
-    // In a smaller zone relays save few calls, and each hop makes news older.
+    // In a smaller zone relays save few calls to the store, and each hop makes updates older.
     int fewestDaemons = 8;
-    // A larger zone gets further relays. While replicas form, each daemon is sent a few kilobytes
-    // of each server: those that follow one relay share the link of one machine.
-    int mostDaemonsPerRelay = 30;
+    // A larger zone gets more relays. While replicas form, each daemon receives a few kilobytes per
+    // server, and all followers of a relay share the link of its machine.
+    int maxDaemonsPerRelay = 30;
 };
 
 struct RelayChoice
 {
-    std::vector<RelayCandidate> relays; // None in a small zone.
+    std::vector<RelayCandidate> relays; // Empty in a small zone.
     std::vector<RelayCandidate> reserves; // The best first.
 };
 
-// Those with the most processor first: a relay passes all news on to some thirty others.
+// Prefers daemons with the largest processor share, since a relay forwards all updates to some
+// thirty others.
 RelayChoice chooseRelays(const ZoneId &zone, const std::vector<RelayCandidate> &daemons,
                          const RelayChoiceOptions &options);
 
-// `relays` in the order in which `daemon` asks them: each relay is the first for about as many.
+// `relays` in the order in which `daemon` tries them. By rendezvous hashing each relay comes first
+// for about the same number of daemons.
 std::vector<RelayCandidate> orderRelays(const DaemonId &daemon, std::vector<RelayCandidate> relays);
 
 } // namespace ramphinge
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -184,7 +184,7 @@
     const LoadSumMessage total { m_loads.totalSum(own, now) };
     for (const DaemonId &follower : m_loads.followers(now))
         m_network->send(follower, total);
-    m_onOthersLoad(withoutOwn(total.load, own));
+    m_onOthersLoad(subtractOwnLoad(total.load, own));
 }
 
 void RelayNode::tellLoadAsFollower(SharedLoad own)
@@ -349,14 +349,14 @@
     }
     if (const auto *report = std::get_if<LoadReportMessage>(&message)) {
         if (report->ofGroup)
-            m_loads.noteRelay(from, report->load, m_clock.now());
+            m_loads.setRelayLoad(from, report->load, m_clock.now());
         else
-            m_loads.noteFollower(from, report->load, m_clock.now());
+            m_loads.setFollowerLoad(from, report->load, m_clock.now());
         return;
     }
     if (const auto *sum = std::get_if<LoadSumMessage>(&message)) {
         if (m_onOthersLoad && from == m_answering)
-            m_onOthersLoad(withoutOwn(sum->load, m_toldLoad));
+            m_onOthersLoad(subtractOwnLoad(sum->load, m_toldLoad));
         return;
     }
     if (const auto *servers = std::get_if<ServerUpdateMessage>(&message)) {
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -20,7 +20,7 @@
 #include "ramphinge/observe/decision_log.h"
 #include "ramphinge/observe/metrics.h"
 #include "ramphinge/peers/peer_network.h"
-#include "ramphinge/relay/load_board.h"
+#include "ramphinge/relay/load_aggregator.h"
 #include "ramphinge/relay/relay_choice.h"
 #include "ramphinge/relay/update_feed.h"
 #include "ramphinge/store/news_source.h"
@@ -50,7 +50,7 @@
     // To one follower; beyond it the link is closed. Two of the largest answers: thirty followers
     // that read nothing then hold 30 MB of the 160 MB that the smallest machines have.
     std::size_t mostQueuedBytes = 1024 * 1024;
-    LoadBoardOptions loads;
+    LoadAggregatorOptions loads;
     // Between two reports of what is under way. In that time a replica gets two or three requests
     // of the fourteen that it runs at once.
     Duration loadInterval = std::chrono::milliseconds(250);
@@ -151,7 +151,7 @@
     std::vector<RelayCandidate> m_otherRelays; // Of all zones, without this daemon.
     std::vector<RelayCandidate> m_unrelayed; // Daemons of zones without relays, without this one.
     DaemonId m_answering; // The relay that answered last.
-    LoadBoard m_loads;
+    LoadAggregator m_loads;
     SharedLoad m_toldLoad; // This daemon's own, as it last told its relay.
     std::function<SharedLoad()> m_ownLoad; // Empty: loads are not shared.
     std::function<void(const SharedLoad &)> m_onOthersLoad;
--- a/ramphinge/relay/relay_test.cpp
+++ b/ramphinge/relay/relay_test.cpp
@@ -6,7 +6,7 @@
 #include <rapidcheck.h>
 
 #include "ramphinge/base/random.h"
-#include "ramphinge/relay/load_board.h"
+#include "ramphinge/relay/load_aggregator.h"
 #include "ramphinge/relay/relay_choice.h"
 #include "ramphinge/relay/update_feed.h"
 #include "ramphinge/testing/cppunit_main.h"
@@ -322,7 +322,7 @@
         for (int i = 0; i < 100; ++i)
             all.push_back(daemon("d" + std::to_string(i), "z", 1));
         const std::size_t relays = chooseRelays(ZoneId("z"), all, {}).relays.size();
-        const auto most = static_cast<std::size_t>(RelayChoiceOptions().mostDaemonsPerRelay);
+        const auto most = static_cast<std::size_t>(RelayChoiceOptions().maxDaemonsPerRelay);
         CPPUNIT_ASSERT(relays * most >= all.size());
         CPPUNIT_ASSERT((relays - 1) * most < all.size());
         all.resize(24);
@@ -494,16 +494,19 @@
     void loadsAreSummedWhileTheyAreFresh()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        const LoadBoardOptions options;
+        const LoadAggregatorOptions options;
         const HostId host("h");
         const ModelId chat("chat");
-        LoadBoard board(options);
-        board.noteFollower(DaemonId("f1"), { { { host, 2, 100 } }, { { chat, { 100, 4 } } } }, now);
-        board.noteFollower(DaemonId("f1"), { { { host, 3, 200 } }, { { chat, { 50, 2 } } } }, now);
-        board.noteFollower(DaemonId("f2"),
-                           { { { host, 1, 0 }, { HostId("i"), 4, 50 } }, { { chat, { 7, 1 } } } },
+        LoadAggregator board(options);
+        board.setFollowerLoad(DaemonId("f1"), { { { host, 2, 100 } }, { { chat, { 100, 4 } } } },
+                              now);
+        board.setFollowerLoad(DaemonId("f1"), { { { host, 3, 200 } }, { { chat, { 50, 2 } } } },
+                              now);
+        board.setFollowerLoad(
+            DaemonId("f2"), { { { host, 1, 0 }, { HostId("i"), 4, 50 } }, { { chat, { 7, 1 } } } },
+            now);
+        board.setRelayLoad(DaemonId("r"), { { { host, 10, 1000 } }, { { chat, { 1000, 9 } } } },
                            now);
-        board.noteRelay(DaemonId("r"), { { { host, 10, 1000 } }, { { chat, { 1000, 9 } } } }, now);
         const SharedLoad own { { { host, 1, 10 } }, { { chat, { 3, 1 } } } };
         const PlaceLoads group = board.groupSum(own, now).places;
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), group.size());
@@ -514,7 +517,7 @@
         CPPUNIT_ASSERT_EQUAL(1060.0, board.totalSum(own, now).work.at(chat).serverMilliseconds);
         CPPUNIT_ASSERT_EQUAL(13.0, board.totalSum(own, now).work.at(chat).requests);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), board.followers(now).size());
-        const MonotonicTime later = now + options.fresh + std::chrono::milliseconds(1);
+        const MonotonicTime later = now + options.reportLifetime + std::chrono::milliseconds(1);
         CPPUNIT_ASSERT_EQUAL(1, board.totalSum(own, later).places[0].running);
         CPPUNIT_ASSERT(board.followers(later).empty());
     }
@@ -526,7 +529,7 @@
                                  { { chat, { 10, 2 } } } };
         const SharedLoad own { { { HostId("h"), 2, 400 }, { HostId("gone"), 9, 9 } },
                                { { chat, { 4, 3 } } } };
-        const SharedLoad others = withoutOwn(total, own);
+        const SharedLoad others = subtractOwnLoad(total, own);
         const PlaceLoads &rest = others.places;
         CPPUNIT_ASSERT_EQUAL(6.0, others.work.at(chat).serverMilliseconds);
         CPPUNIT_ASSERT_EQUAL(0.0, others.work.at(chat).requests);
@@ -539,14 +542,14 @@
     void reportsAreBounded()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        LoadBoardOptions options;
-        options.mostReports = 2;
-        LoadBoard board(options);
+        LoadAggregatorOptions options;
+        options.maxReports = 2;
+        LoadAggregator board(options);
         for (const char *name : { "a", "b", "c" })
-            board.noteFollower(DaemonId(name), {}, now);
+            board.setFollowerLoad(DaemonId(name), {}, now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), board.followers(now).size());
-        const MonotonicTime later = now + 2 * options.fresh;
-        board.noteFollower(DaemonId("c"), {}, later); // The old ones make room.
+        const MonotonicTime later = now + 2 * options.reportLifetime;
+        board.setFollowerLoad(DaemonId("c"), {}, later); // The old ones make room.
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), board.followers(later).size());
     }
 
