--- a/ramphinge/peers/peer_network.cpp
+++ b/ramphinge/peers/peer_network.cpp
@@ -1,7 +1,8 @@
 // Links between daemons over websocketpp: see peer_network.h.
 //
-// Handshake, both ways at once: each side sends its name and a nonce, then the HMAC of both names
-// and nonces under the shared key. Nothing else is read from a side that has not proved the key.
+// Handshake, in both directions at once: each side sends its daemon id and a nonce, then the HMAC
+// of both ids and nonces under the shared key. No other message is accepted from a side that has
+// not proved the key.
 
 #include "ramphinge/peers/peer_network.h"
 
@@ -32,40 +33,42 @@
 using Handle = websocketpp::connection_hdl;
 
 constexpr std::size_t maxHandshakeBytes = 1024;
-// A link on which bytes stay unacknowledged for so long is dead. Whoever waits for an answer on it
-// has a time-out of its own, far shorter; this only frees its memory.
+// A link with bytes unacknowledged for this long is considered dead. Requests on it have much
+// shorter timeouts of their own; this one only frees the link's memory.
 constexpr int deadLinkSeconds = 10;
 
 // One connection, whichever side made it.
 struct Link
 {
-    std::function<bool(const std::string &)> send; // False if it can't take the bytes.
+    std::function<bool(const std::string &)> send; // False if closed or the queue is full.
     std::function<void()> close;
     std::string ownNonce;
-    DaemonId claimedPeer; // Who the other side says it is.
+    DaemonId claimedPeer; // The id that the other side sent; authentic once `proved`.
     std::string peerNonce;
     bool proofSent = false;
     bool proved = false; // The other side has proved the key.
-    Endpoint dialled; // Where this side called; port 0 if it was called.
+    Endpoint dialled; // The endpoint that this side connected to; port 0 for an accepted link.
 };
 using LinkPtr = std::shared_ptr<Link>;
 
 using SocketTimeout = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
 using KeepAliveIdle = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
 
-// A peer that lost power, or is cut off, says nothing: the kernel finds out and ends the link.
-void prepareSocket(boost::asio::ip::tcp::socket &socket)
+// Lets the kernel detect a peer that lost power or is partitioned from this host, and close the
+// link.
+void configureSocket(boost::asio::ip::tcp::socket &socket)
 {
-    boost::system::error_code ignored; // Without an option the link still works.
+    boost::system::error_code ignored; // The link works without these options.
     socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     socket.set_option(KeepAliveIdle(deadLinkSeconds), ignored);
     socket.set_option(SocketTimeout(deadLinkSeconds * 1000), ignored);
 }
 
-// Empty if the field is missing or of another type. Whoever greets has proved nothing yet, and the
-// library's own accessor throws at another type: out of a handler that would end the event loop.
-std::string textOf(const Json &object, const char *field)
+// Empty if the field is missing or not a string. The library's accessor throws on another type, and
+// an exception out of a handler would end the event loop; a handshake comes from an unauthenticated
+// peer.
+std::string stringField(const Json &object, const char *field)
 {
     const auto found = object.find(field);
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -82,8 +85,8 @@
 
     Status bind()
     {
-        prepare(m_server);
-        prepare(m_client);
+        configureSide(m_server);
+        configureSide(m_client);
         websocketpp::lib::error_code ec;
         m_server.set_reuse_addr(true);
         const boost::asio::ip::tcp::endpoint address(
@@ -143,7 +146,7 @@
             return;
         const LinkPtr link = found->second;
         m_peers.erase(found);
-        // The closing handshake of a dead connection takes seconds; a new one may be made
+        // The closing handshake of a dead connection takes seconds; a new connection may be opened
         // meanwhile.
         m_dialling.erase(link->dialled);
         link->close();
@@ -162,7 +165,7 @@
     }
 
 private:
-    template <typename Side> void prepare(Side &side)
+    template <typename Side> void configureSide(Side &side)
     {
         side.clear_access_channels(websocketpp::log::alevel::all);
         side.clear_error_channels(websocketpp::log::elevel::all);
@@ -174,13 +177,13 @@
             websocketpp::lib::error_code ec;
             const auto connection = side.get_con_from_hdl(handle, ec);
             if (!ec)
-                prepareSocket(connection->get_raw_socket());
+                configureSocket(connection->get_raw_socket());
         });
-        side.set_open_handler([this, &side](const Handle &handle) { opened(side, handle); });
-        side.set_close_handler([this](const Handle &handle) { closed(handle); });
-        side.set_fail_handler([this](const Handle &handle) { closed(handle); });
+        side.set_open_handler([this, &side](const Handle &handle) { onOpen(side, handle); });
+        side.set_close_handler([this](const Handle &handle) { onClose(handle); });
+        side.set_fail_handler([this](const Handle &handle) { onClose(handle); });
         side.set_message_handler([this](const Handle &handle, const auto &message) {
-            received(handle, message->get_payload());
+            onPayload(handle, message->get_payload());
         });
     }
 
@@ -194,11 +197,11 @@
             m_dialling.erase(endpoint);
             return;
         }
-        m_dialledBy[connection->get_handle()] = endpoint;
+        m_dialledEndpoints[connection->get_handle()] = endpoint;
         m_client.connect(connection);
     }
 
-    template <typename Side> void opened(Side &side, const Handle &handle)
+    template <typename Side> void onOpen(Side &side, const Handle &handle)
     {
         auto link = std::make_shared<Link>();
         websocketpp::lib::error_code ec;
@@ -217,15 +220,15 @@
                 open->close(websocketpp::close::status::going_away, "", ignored);
         };
         link->ownNonce = m_random.token() + m_random.token();
-        const auto dialled = m_dialledBy.find(handle);
-        if (dialled != m_dialledBy.end())
+        const auto dialled = m_dialledEndpoints.find(handle);
+        if (dialled != m_dialledEndpoints.end())
             link->dialled = dialled->second;
         m_links[handle] = link;
         link->send(Json { { "d", m_options.self.text() }, { "n", link->ownNonce } }.dump());
-        expireHandshake(handle);
+        startHandshakeTimer(handle);
     }
 
-    void expireHandshake(const Handle &handle)
+    void startHandshakeTimer(const Handle &handle)
     {
         auto timer = std::make_shared<BootTimer>(m_io, m_options.handshakeTimeout);
         timer->async_wait([this, timer, handle, alive = m_alive](const auto &) {
@@ -233,22 +236,22 @@
                 return;
             const auto found = m_links.find(handle);
             if (found != m_links.end() && !found->second->proved)
-                refuse(found->second);
+                reject(found->second);
         });
     }
 
-    void refuse(const LinkPtr &link)
+    void reject(const LinkPtr &link)
     {
         ++m_traffic.refused;
         link->close();
     }
 
-    void closed(const Handle &handle)
+    void onClose(const Handle &handle)
     {
-        const auto dialled = m_dialledBy.find(handle);
-        if (dialled != m_dialledBy.end()) {
+        const auto dialled = m_dialledEndpoints.find(handle);
+        if (dialled != m_dialledEndpoints.end()) {
             m_dialling.erase(dialled->second);
-            m_dialledBy.erase(dialled);
+            m_dialledEndpoints.erase(dialled);
         }
         const auto found = m_links.find(handle);
         if (found == m_links.end())
@@ -262,14 +265,14 @@
         m_handler.onLink(link->claimedPeer, false);
     }
 
-    void received(const Handle &handle, const std::string &bytes)
+    void onPayload(const Handle &handle, const std::string &bytes)
     {
         const auto found = m_links.find(handle);
         if (found == m_links.end())
             return;
         const LinkPtr link = found->second;
         if (!link->proved) {
-            shakeHands(link, bytes);
+            processHandshake(link, bytes);
             return;
         }
         ++m_traffic.messagesIn;
@@ -285,47 +288,47 @@
                        { { "peer", link->claimedPeer.text() } });
     }
 
-    std::string proof(const DaemonId &by, const std::string &byNonce, const DaemonId &to,
-                      const std::string &toNonce) const
+    std::string proofOf(const DaemonId &by, const std::string &byNonce, const DaemonId &to,
+                        const std::string &toNonce) const
     {
         return hmacSha256Hex(m_options.sharedKey,
                              by.text() + "|" + byNonce + "|" + to.text() + "|" + toNonce);
     }
 
-    void shakeHands(const LinkPtr &link, const std::string &bytes)
+    void processHandshake(const LinkPtr &link, const std::string &bytes)
     {
         const Json json =
             bytes.size() > maxHandshakeBytes ? Json() : Json::parse(bytes, nullptr, false);
         if (!json.is_object()) {
-            refuse(link);
+            reject(link);
             return;
         }
         if (!link->proofSent) {
-            link->claimedPeer = DaemonId(textOf(json, "d"));
-            link->peerNonce = textOf(json, "n");
-            const bool sound = !link->claimedPeer.empty() && link->claimedPeer != m_options.self
+            link->claimedPeer = DaemonId(stringField(json, "d"));
+            link->peerNonce = stringField(json, "n");
+            const bool isValid = !link->claimedPeer.empty() && link->claimedPeer != m_options.self
                 && link->peerNonce.size() >= 16;
-            if (!sound) {
-                refuse(link);
+            if (!isValid) {
+                reject(link);
                 return;
             }
             link->proofSent = true;
-            const std::string own =
-                proof(m_options.self, link->ownNonce, link->claimedPeer, link->peerNonce);
-            link->send(Json { { "proof", own } }.dump());
+            const std::string ownProof =
+                proofOf(m_options.self, link->ownNonce, link->claimedPeer, link->peerNonce);
+            link->send(Json { { "proof", ownProof } }.dump());
             return;
         }
         const std::string expected =
-            proof(link->claimedPeer, link->peerNonce, m_options.self, link->ownNonce);
-        if (!equalConstantTime(expected, textOf(json, "proof"))) {
+            proofOf(link->claimedPeer, link->peerNonce, m_options.self, link->ownNonce);
+        if (!equalConstantTime(expected, stringField(json, "proof"))) {
             logWarning("peers",
-                       "a peer did not prove the shared key; give all daemons the same one",
+                       "peer failed to prove the shared key; configure the same key on all daemons",
                        { { "peer", link->claimedPeer.text() } });
-            refuse(link);
+            reject(link);
             return;
         }
         link->proved = true;
-        // A newer link replaces an older one, which may be dead without our knowing.
+        // A newer link replaces an older one, which may be dead without having been detected yet.
         m_peers[link->claimedPeer] = link;
         m_handler.onLink(link->claimedPeer, true);
     }
@@ -337,9 +340,9 @@
     Server m_server;
     Client m_client;
     std::map<Handle, LinkPtr, std::owner_less<Handle>> m_links;
-    std::map<Handle, Endpoint, std::owner_less<Handle>> m_dialledBy;
-    std::set<Endpoint> m_dialling; // Calls that are being made or have become links.
-    std::map<DaemonId, LinkPtr> m_peers; // Invariant: proved links only.
+    std::map<Handle, Endpoint, std::owner_less<Handle>> m_dialledEndpoints;
+    std::set<Endpoint> m_dialling; // Endpoints with an outgoing connection, opening or open.
+    std::map<DaemonId, LinkPtr> m_peers; // Invariant: only links whose peer has proved the key.
     PeerTraffic m_traffic;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
