--- a/ramphinge/peers/message.cpp
+++ b/ramphinge/peers/message.cpp
@@ -17,97 +17,98 @@
 using Json = nlohmann::json;
 
 constexpr int protocolVersion = 1;
-constexpr std::size_t maxDepth = 16;
+constexpr std::size_t maxNestingDepth = 16;
 
-// Walks over the items of a CBOR text and refuses what no message holds, before a recursive reader
-// meets it: deep nesting, items of indefinite length and tags. It doesn't recurse, and looks at the
-// bytes themselves: the library reads the parts of an indefinite text by recursion before it tells
-// a listener anything, and 2 MB of them ended the daemon by signal 11.
-class PlainCheck
+// Checks CBOR bytes before the library's recursive parser reads them, and rejects what no message
+// contains: deep nesting, items of indefinite length and tags. It neither recurses nor uses the
+// library's callbacks: the library parses the chunks of an indefinite-length string recursively
+// before it calls back, and 2 MB of them crashed the daemon with signal 11.
+class CborValidator
 {
 public:
-    explicit PlainCheck(std::string_view bytes) : m_rest(bytes) { }
+    explicit CborValidator(std::string_view bytes) : m_unread(bytes) { }
 
-    // Whether the text is one item of plain ones, and ends with it.
-    bool holds()
+    // Whether the bytes are exactly one item without rejected parts.
+    bool isValid()
     {
-        m_due = { 1 };
-        while (!m_due.empty()) {
-            if (m_due.back() == 0) {
-                m_due.pop_back();
+        m_remainingItems = { 1 };
+        while (!m_remainingItems.empty()) {
+            if (m_remainingItems.back() == 0) {
+                m_remainingItems.pop_back();
                 continue;
             }
-            --m_due.back();
-            if (!passItem())
+            --m_remainingItems.back();
+            if (!skipItem())
                 return false;
         }
-        return m_rest.empty();
+        return m_unread.empty();
     }
 
 private:
     enum Major { Bytes = 2, Text = 3, Array = 4, Map = 5, Tag = 6 };
 
-    // Passes the head of an item, and the content of one that holds no others.
-    bool passItem()
+    // Skips the head of an item, and the content of a string.
+    bool skipItem()
     {
-        if (m_rest.empty())
+        if (m_unread.empty())
             return false;
-        const auto first = static_cast<unsigned char>(m_rest.front());
-        m_rest.remove_prefix(1);
-        const std::optional<std::uint64_t> argument = takeArgument(first & 31U);
+        const auto first = static_cast<unsigned char>(m_unread.front());
+        m_unread.remove_prefix(1);
+        const std::optional<std::uint64_t> argument = readArgument(first & 31U);
         if (!argument)
             return false;
         switch (first >> 5U) {
         case Bytes:
         case Text:
-            return pass(*argument);
+            return skip(*argument);
         case Array:
-            return open(*argument);
-        case Map: // Two items an entry.
-            return *argument <= m_rest.size() && open(*argument * 2);
+            return enterContainer(*argument);
+        case Map: // Two items per entry.
+            return *argument <= m_unread.size() && enterContainer(*argument * 2);
         case Tag:
             return false;
-        default: // A number or a literal is its argument.
+        default: // Numbers and simple values consist of their argument only.
             return true;
         }
     }
 
-    // Nothing for an indefinite length, or where bytes are missing.
-    std::optional<std::uint64_t> takeArgument(unsigned int code)
+    // nullopt for an indefinite length, or if bytes are missing.
+    std::optional<std::uint64_t> readArgument(unsigned int code)
     {
-        constexpr unsigned int firstLong = 24;
-        constexpr unsigned int lastLong = 27;
-        if (code < firstLong)
+        constexpr unsigned int firstMultiByte = 24;
+        constexpr unsigned int lastMultiByte = 27;
+        if (code < firstMultiByte)
             return code;
-        const std::size_t size = std::size_t(1) << (code - firstLong);
-        if (code > lastLong || m_rest.size() < size)
+        const std::size_t size = std::size_t(1) << (code - firstMultiByte);
+        if (code > lastMultiByte || m_unread.size() < size)
             return std::nullopt;
         std::uint64_t value = 0;
         for (std::size_t i = 0; i < size; ++i)
-            value = value << 8U | static_cast<unsigned char>(m_rest[i]);
-        m_rest.remove_prefix(size);
+            value = value << 8U | static_cast<unsigned char>(m_unread[i]);
+        m_unread.remove_prefix(size);
         return value;
     }
 
-    bool pass(std::uint64_t size)
+    bool skip(std::uint64_t size)
     {
-        if (size > m_rest.size())
+        if (size > m_unread.size())
             return false;
-        m_rest.remove_prefix(size);
+        m_unread.remove_prefix(size);
         return true;
     }
 
-    // Each item takes a byte or more.
-    bool open(std::uint64_t items)
+    // Each item takes at least one byte, so more items than bytes are an error.
+    bool enterContainer(std::uint64_t items)
     {
-        if (items > m_rest.size() || m_due.size() > maxDepth)
+        if (items > m_unread.size() || m_remainingItems.size() > maxNestingDepth)
             return false;
-        m_due.push_back(items);
+        m_remainingItems.push_back(items);
         return true;
     }
 
-    std::string_view m_rest;
-    std::vector<std::uint64_t> m_due; // Items still to come in each open one, the innermost last.
+    std::string_view m_unread;
+    // Number of items still to read in each open container, the innermost last.
+    std::vector<std::uint64_t> m_remainingItems;
 };
 
 std::int64_t milliseconds(Duration duration)
@@ -115,16 +116,16 @@
     return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-// What any time in a message may be at most, either way. A count that is too large for a duration
-// would come out as any other.
-constexpr std::int64_t mostMilliseconds = 24LL * 60 * 60 * 1000;
-// What any work in a message may be at most, in server milliseconds or requests: a day of 10,000
-// servers.
-constexpr double mostWork = 1e12;
+// Limit of any time in a message, positive or negative. A count that is too large for a Duration
+// would overflow to an arbitrary value.
+constexpr std::int64_t maxMilliseconds = 24LL * 60 * 60 * 1000;
+// Limit of any amount of work in a message, in server milliseconds or requests: one day of 10,000
+// servers is 8.64e11 server milliseconds.
+constexpr double maxWork = 1e12;
 
-Duration durationFrom(const Json &json, std::int64_t least = -mostMilliseconds)
+Duration durationFrom(const Json &json, std::int64_t minMilliseconds = -maxMilliseconds)
 {
-    return Milliseconds(std::clamp(json.get<std::int64_t>(), least, mostMilliseconds));
+    return Milliseconds(std::clamp(json.get<std::int64_t>(), minMilliseconds, maxMilliseconds));
 }
 
 Json endpointJson(const Endpoint &endpoint)
@@ -132,7 +133,7 @@
     return Json::array({ endpoint.address, endpoint.port });
 }
 
-Endpoint endpointOf(const Json &json)
+Endpoint endpointFrom(const Json &json)
 {
     return { json.at(0).get<std::string>(), json.at(1).get<std::uint16_t>() };
 }
@@ -161,14 +162,14 @@
              RequestId(json.at(3).get<std::string>()) };
 }
 
-Json keptJson(const std::optional<KeptAnswer> &kept)
+Json keptAnswerJson(const std::optional<KeptAnswer> &kept)
 {
     if (!kept)
         return nullptr;
     return Json::array({ kept->status, kept->contentType, kept->body });
 }
 
-std::optional<KeptAnswer> keptFrom(const Json &json)
+std::optional<KeptAnswer> keptAnswerFrom(const Json &json)
 {
     if (!json.is_array())
         return std::nullopt;
@@ -180,11 +181,11 @@
 {
     const int number = json.get<int>();
     if (number < 0 || number > static_cast<int>(last))
-        throw std::out_of_range("a value that this version does not know");
+        throw std::out_of_range("unknown enum value");
     return static_cast<Enum>(number);
 }
 
-// One overload of put() and take() for each message, in the order of the variant.
+// nameOf(), writeFields() and readFields() have one overload per message type.
 
 const char *nameOf(const StatusMessage &)
 {
@@ -238,7 +239,7 @@
 {
     return "load";
 }
-const char *nameOf(const LoadSumMessage &)
+const char *nameOf(const TotalLoadMessage &)
 {
     return "loads";
 }
@@ -263,7 +264,7 @@
     return "config";
 }
 
-void put(const StatusMessage &message, Json &json)
+void writeFields(const StatusMessage &message, Json &json)
 {
     const PeerState &state = message.state;
     json["d"] = state.daemon.text();
@@ -277,13 +278,13 @@
     json["h"] = Json::array({ message.time.wallMilliseconds, message.time.counter });
 }
 
-void take(StatusMessage &message, const Json &json, MonotonicTime now)
+void readFields(StatusMessage &message, const Json &json, MonotonicTime now)
 {
     PeerState &state = message.state;
     state.daemon = DaemonId(json.at("d").get<std::string>());
     state.zone = ZoneId(json.at("z").get<std::string>());
-    state.peers = endpointOf(json.at("p"));
-    state.administration = endpointOf(json.at("a"));
+    state.peers = endpointFrom(json.at("p"));
+    state.administration = endpointFrom(json.at("a"));
     state.incarnation = json.at("i").get<std::string>();
     state.registration = enumFrom(json.at("r"), Registration::Rejoining);
     state.configVersion = json.at("c").get<std::int64_t>();
@@ -293,7 +294,7 @@
                      json.at("h").at(1).get<std::int64_t>() };
 }
 
-void put(const ObservationsMessage &message, Json &json)
+void writeFields(const ObservationsMessage &message, Json &json)
 {
     Json list = Json::array();
     for (const ObservationsMessage::Aged &aged : message.observations) {
@@ -311,7 +312,7 @@
     json["u"] = message.urgent;
 }
 
-void take(ObservationsMessage &message, const Json &json, MonotonicTime now)
+void readFields(ObservationsMessage &message, const Json &json, MonotonicTime now)
 {
     message.urgent = json.at("u").get<bool>();
     for (const Json &entry : json.at("o")) {
@@ -337,7 +338,7 @@
     }
 }
 
-void put(const ServiceMessage &message, Json &json)
+void writeFields(const ServiceMessage &message, Json &json)
 {
     json["m"] = message.model.text();
     Json list = Json::array();
@@ -346,7 +347,7 @@
     json["s"] = std::move(list);
 }
 
-void take(ServiceMessage &message, const Json &json, MonotonicTime)
+void readFields(ServiceMessage &message, const Json &json, MonotonicTime)
 {
     message.model = ModelId(json.at("m").get<std::string>());
     for (const Json &entry : json.at("s"))
@@ -354,53 +355,53 @@
             { AccountId(entry.at(0).get<std::string>()), Tokens(entry.at(1).get<std::int64_t>()) });
 }
 
-void put(const ClaimRequestMessage &message, Json &json)
+void writeFields(const ClaimRequestMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["s"] = slotJson(message.slot);
     json["k"] = attemptJson(message.attempt);
 }
 
-void take(ClaimRequestMessage &message, const Json &json, MonotonicTime)
+void readFields(ClaimRequestMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
     message.slot = slotFrom(json.at("s"));
     message.attempt = attemptFrom(json.at("k"));
 }
 
-void put(const ClaimReplyMessage &message, Json &json)
+void writeFields(const ClaimReplyMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["a"] = static_cast<int>(message.answer.verdict);
     json["w"] = milliseconds(message.answer.sendWithin);
-    json["b"] = keptJson(message.answer.kept);
+    json["b"] = keptAnswerJson(message.answer.kept);
 }
 
-void take(ClaimReplyMessage &message, const Json &json, MonotonicTime)
+void readFields(ClaimReplyMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
     message.answer.verdict = enumFrom(json.at("a"), ClaimVerdict::NotOwner);
     message.answer.sendWithin = durationFrom(json.at("w"));
-    message.answer.kept = keptFrom(json.at("b"));
+    message.answer.kept = keptAnswerFrom(json.at("b"));
 }
 
-void put(const SettleMessage &message, Json &json)
+void writeFields(const SettleMessage &message, Json &json)
 {
     json["s"] = slotJson(message.slot);
     json["k"] = attemptJson(message.attempt);
     json["o"] = static_cast<int>(message.outcome);
-    json["b"] = keptJson(message.answer);
+    json["b"] = keptAnswerJson(message.answer);
 }
 
-void take(SettleMessage &message, const Json &json, MonotonicTime)
+void readFields(SettleMessage &message, const Json &json, MonotonicTime)
 {
     message.slot = slotFrom(json.at("s"));
     message.attempt = attemptFrom(json.at("k"));
     message.outcome = enumFrom(json.at("o"), ClaimOutcome::MayHaveRun);
-    message.answer = keptFrom(json.at("b"));
+    message.answer = keptAnswerFrom(json.at("b"));
 }
 
-void put(const HandoverMessage &message, Json &json)
+void writeFields(const HandoverMessage &message, Json &json)
 {
     json["s"] = slotJson(message.slot);
     json["g"] = message.reign;
@@ -413,7 +414,7 @@
     json["r"] = std::move(list);
 }
 
-void take(HandoverMessage &message, const Json &json, MonotonicTime)
+void readFields(HandoverMessage &message, const Json &json, MonotonicTime)
 {
     message.slot = slotFrom(json.at("s"));
     message.reign = json.at("g").get<std::int64_t>();
@@ -428,21 +429,21 @@
     }
 }
 
-void put(const HandoverAckMessage &message, Json &json)
+void writeFields(const HandoverAckMessage &message, Json &json)
 {
     json["s"] = slotJson(message.slot);
     json["g"] = message.reign;
     json["y"] = message.isCopy;
 }
 
-void take(HandoverAckMessage &message, const Json &json, MonotonicTime)
+void readFields(HandoverAckMessage &message, const Json &json, MonotonicTime)
 {
     message.slot = slotFrom(json.at("s"));
     message.reign = json.at("g").get<std::int64_t>();
     message.isCopy = json.at("y").get<bool>();
 }
 
-void put(const CopyGrantMessage &message, Json &json)
+void writeFields(const CopyGrantMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["s"] = slotJson(message.slot);
@@ -450,7 +451,7 @@
     json["k"] = attemptJson(message.attempt);
 }
 
-void take(CopyGrantMessage &message, const Json &json, MonotonicTime)
+void readFields(CopyGrantMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
     message.slot = slotFrom(json.at("s"));
@@ -458,57 +459,57 @@
     message.attempt = attemptFrom(json.at("k"));
 }
 
-void put(const CopyAckMessage &message, Json &json)
+void writeFields(const CopyAckMessage &message, Json &json)
 {
     json["n"] = message.id.count();
 }
 
-void take(CopyAckMessage &message, const Json &json, MonotonicTime)
+void readFields(CopyAckMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
 }
 
-void put(const ConfirmMessage &message, Json &json)
+void writeFields(const ConfirmMessage &message, Json &json)
 {
     json["c"] = message.change.text();
     json["y"] = message.accepts;
     json["m"] = message.message;
 }
 
-void take(ConfirmMessage &message, const Json &json, MonotonicTime)
+void readFields(ConfirmMessage &message, const Json &json, MonotonicTime)
 {
     message.change = ChangeId(json.at("c").get<std::string>());
     message.accepts = json.at("y").get<bool>();
     message.message = json.at("m").get<std::string>();
 }
 
-void put(const InForceMessage &message, Json &json)
+void writeFields(const InForceMessage &message, Json &json)
 {
     json["c"] = message.version;
 }
 
-void take(InForceMessage &message, const Json &json, MonotonicTime)
+void readFields(InForceMessage &message, const Json &json, MonotonicTime)
 {
     message.version = json.at("c").get<std::int64_t>();
 }
 
-void put(const ConfigQueryMessage &, Json &) { }
+void writeFields(const ConfigQueryMessage &, Json &) { }
 
-void take(ConfigQueryMessage &, const Json &, MonotonicTime) { }
+void readFields(ConfigQueryMessage &, const Json &, MonotonicTime) { }
 
-void put(const ConfigMessage &message, Json &json)
+void writeFields(const ConfigMessage &message, Json &json)
 {
     json["c"] = message.accepted;
     json["e"] = message.prepared;
 }
 
-void take(ConfigMessage &message, const Json &json, MonotonicTime)
+void readFields(ConfigMessage &message, const Json &json, MonotonicTime)
 {
     message.accepted = json.at("c").get<std::string>();
     message.prepared = json.at("e").get<std::string>();
 }
 
-void put(const StoreUpdateRequestMessage &message, Json &json)
+void writeFields(const StoreUpdateRequestMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["a"] = message.after.count();
@@ -516,7 +517,7 @@
     json["l"] = message.storeLost;
 }
 
-void take(StoreUpdateRequestMessage &message, const Json &json, MonotonicTime)
+void readFields(StoreUpdateRequestMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
     message.after = Revision(json.at("a").get<std::int64_t>());
@@ -524,7 +525,7 @@
     message.storeLost = json.at("l").get<bool>();
 }
 
-// A vanished key has no revision and no value.
+// A deleted key has neither revision nor value.
 Json changeJson(const StoreChange &change)
 {
     Json json = Json::array({ change.key.text() });
@@ -547,7 +548,7 @@
     return change;
 }
 
-void put(const StoreUpdateMessage &message, Json &json)
+void writeFields(const StoreUpdateMessage &message, Json &json)
 {
     json["n"] = message.id.count();
     json["r"] = static_cast<int>(message.verdict);
@@ -561,7 +562,7 @@
         json["m"] = true;
 }
 
-void take(StoreUpdateMessage &message, const Json &json, MonotonicTime)
+void readFields(StoreUpdateMessage &message, const Json &json, MonotonicTime)
 {
     message.id = CorrelationId(json.at("n").get<std::int64_t>());
     message.verdict = enumFrom(json.at("r"), UpdateVerdict::TooLarge);
@@ -572,15 +573,15 @@
     message.moreFollow = json.value("m", false);
 }
 
-Json placesJson(const PlaceLoads &places)
+Json targetsJson(const PlaceLoads &places)
 {
     Json list = Json::array();
-    for (const PlaceLoad &place : places)
-        list.push_back(Json::array({ place.host.text(), place.running, place.waitingPrompt }));
+    for (const PlaceLoad &target : places)
+        list.push_back(Json::array({ target.host.text(), target.running, target.waitingPrompt }));
     return list;
 }
 
-PlaceLoads placesFrom(const Json &json)
+PlaceLoads targetsFrom(const Json &json)
 {
     PlaceLoads places;
     for (const Json &entry : json)
@@ -589,26 +590,28 @@
     return places;
 }
 
-void putLoad(const SharedLoad &load, Json &json)
+void writeLoad(const SharedLoad &load, Json &json)
 {
-    json["p"] = placesJson(load.places);
+    json["p"] = targetsJson(load.places);
     Json work = Json::array();
-    for (const auto &[model, asked] : load.work)
-        work.push_back(Json::array({ model.text(), asked.serverMilliseconds, asked.requests }));
+    for (const auto &[model, requested] : load.work)
+        work.push_back(
+            Json::array({ model.text(), requested.serverMilliseconds, requested.requests }));
     json["w"] = std::move(work);
 }
 
-// Work counts only as a number that can be: one that is not would stay in every sum.
+// Replaces a non-finite amount by 0 and clamps the others; NaN or infinity would persist in every
+// sum.
 double workFrom(const Json &json)
 {
     const auto amount = json.get<double>();
-    return std::isfinite(amount) ? std::clamp(amount, 0.0, mostWork) : 0;
+    return std::isfinite(amount) ? std::clamp(amount, 0.0, maxWork) : 0;
 }
 
 SharedLoad loadFrom(const Json &json)
 {
     SharedLoad load;
-    load.places = placesFrom(json.at("p"));
+    load.places = targetsFrom(json.at("p"));
     const Json work = json.value("w", Json::array());
     for (const Json &entry : work)
         load.work[ModelId(entry.at(0).get<std::string>())] = { workFrom(entry.at(1)),
@@ -616,29 +619,29 @@
     return load;
 }
 
-void put(const LoadReportMessage &message, Json &json)
+void writeFields(const LoadReportMessage &message, Json &json)
 {
-    json["g"] = message.ofGroup;
-    putLoad(message.load, json);
+    json["g"] = message.isGroupSum;
+    writeLoad(message.load, json);
 }
 
-void take(LoadReportMessage &message, const Json &json, MonotonicTime)
+void readFields(LoadReportMessage &message, const Json &json, MonotonicTime)
 {
-    message.ofGroup = json.at("g").get<bool>();
+    message.isGroupSum = json.at("g").get<bool>();
     message.load = loadFrom(json);
 }
 
-void put(const LoadSumMessage &message, Json &json)
+void writeFields(const TotalLoadMessage &message, Json &json)
 {
-    putLoad(message.load, json);
+    writeLoad(message.load, json);
 }
 
-void take(LoadSumMessage &message, const Json &json, MonotonicTime)
+void readFields(TotalLoadMessage &message, const Json &json, MonotonicTime)
 {
     message.load = loadFrom(json);
 }
 
-void put(const ServerUpdateMessage &message, Json &json)
+void writeFields(const ServerUpdateMessage &message, Json &json)
 {
     Json list = Json::array();
     for (const ServerLimitNews &update : message.update.limits) {
@@ -653,8 +656,8 @@
     json["v"] = std::move(leaving);
 }
 
-// A rate that can't be is left out: it would be told on.
-void take(ServerUpdateMessage &message, const Json &json, MonotonicTime)
+// Skips entries with a negative or non-finite rate, so that they are not forwarded.
+void readFields(ServerUpdateMessage &message, const Json &json, MonotonicTime)
 {
     for (const Json &entry : json.at("l")) {
         ServerLimitNews update;
@@ -678,12 +681,12 @@
 Result<PeerMessage> decodeAs(const std::string &name, const Json &json, MonotonicTime now)
 {
     if constexpr (Index == std::variant_size_v<PeerMessage>) {
-        return Error(ErrorKind::NotFound, "message type " + name + " is not known here");
+        return Error(ErrorKind::NotFound, "unknown message type " + name);
     } else {
         std::variant_alternative_t<Index, PeerMessage> message;
         if (name != nameOf(message))
             return decodeAs<Index + 1>(name, json, now);
-        take(message, json, now);
+        readFields(message, json, now);
         return PeerMessage(std::move(message));
     }
 }
@@ -696,7 +699,7 @@
     std::visit(
         [&json](const auto &alternative) {
             json["t"] = nameOf(alternative);
-            put(alternative, json);
+            writeFields(alternative, json);
         },
         message);
     std::string bytes;
@@ -706,14 +709,13 @@
 
 Result<PeerMessage> decode(const std::string &bytes, MonotonicTime now)
 {
-    if (!PlainCheck(bytes).holds())
-        return Error(ErrorKind::InvalidInput, "no plain CBOR, or nested too deeply");
+    if (!CborValidator(bytes).isValid())
+        return Error(ErrorKind::InvalidInput, "invalid CBOR, or unsupported items or nesting");
     const Json json = Json::from_cbor(bytes, true, false);
     try {
         return decodeAs(json.at("t").get<std::string>(), json, now);
     } catch (const std::exception &e) {
-        return Error(ErrorKind::InvalidInput,
-                     std::string("a peer's message is wrong: ") + e.what());
+        return Error(ErrorKind::InvalidInput, std::string("invalid peer message: ") + e.what());
     }
 }
 
--- a/ramphinge/peers/message.h
+++ b/ramphinge/peers/message.h
@@ -1,4 +1,4 @@
-// What daemons say to each other: typed messages, CBOR on the wire, versioned.
+// Messages between daemons: typed, versioned, encoded as CBOR.
 //
 // A receiver ignores message types and fields that it does not know, so that daemons of two
 // versions can work side by side during a rollout.
@@ -25,14 +25,14 @@
 
 using CorrelationId = Quantity<struct CorrelationTag>;
 
-// The sender's own state. `heardAt` is set by the receiver.
+// The sender's own state. `state.heardAt` is not sent; the receiver sets it.
 struct StatusMessage
 {
     PeerState state;
     HybridTime time;
 };
 
-// What the sender knows of hosts. Ages travel instead of times, since clocks differ.
+// The sender's observations of hosts. They carry ages instead of times, since clocks differ.
 struct ObservationsMessage
 {
     struct Aged
@@ -41,10 +41,10 @@
         Duration age;
     };
     std::vector<Aged> observations;
-    bool urgent = false; // News of a host's health: passed on at once.
+    bool urgent = false; // Sent at once on a change of a host, not in a gossip round.
 };
 
-// Service that the sender gave since it last told this receiver.
+// Tokens that the sender has served each account since its last such message to this receiver.
 struct ServiceMessage
 {
     ModelId model;
@@ -72,14 +72,15 @@
     std::optional<KeptAnswer> answer;
 };
 
-// A slot's memory, from an owner that is stopping to its successor. The sender grants nothing more.
+// A slot's claim records, from an owner that is stopping to its successor. The sender grants no
+// more claims for the slot.
 struct HandoverMessage
 {
     SlotId slot;
     std::int64_t reign = 0; // Of the sender.
     WallTime vouchesSince;
     std::vector<ClaimRecord> records;
-    bool isCopy = false; // The owner goes on; each grant follows as a CopyGrantMessage.
+    bool isCopy = false; // The sender remains the owner; each grant follows as a CopyGrantMessage.
 };
 
 struct HandoverAckMessage
@@ -89,7 +90,7 @@
     bool isCopy = false;
 };
 
-// A grant that the copy's holder must remember before it counts.
+// A grant that takes effect only when the holder of the copy has recorded and acknowledged it.
 struct CopyGrantMessage
 {
     CorrelationId id;
@@ -103,12 +104,12 @@
     CorrelationId id;
 };
 
-// The answer of a daemon to a proposed change of configuration.
+// A daemon's response to a proposed change of configuration.
 struct ConfirmMessage
 {
     ChangeId change;
     bool accepts = false;
-    std::string message; // Why not.
+    std::string message; // The reason if it does not accept.
 };
 
 // The sender serves this version.
@@ -121,57 +122,58 @@
 {
 };
 
-// Whole configurations in their stored form: the accepted one, and a confirmed proposal whose
-// decision the sender does not know, or empty.
+// Asks the receiver for its ConfigMessage.
+// Complete configurations in their stored form.
 struct ConfigMessage
 {
     std::string accepted;
-    std::string prepared;
+    std::string prepared; // A confirmed proposal whose outcome the sender doesn't know; or empty.
 };
 
-// Asks a relay for the changes of the store after a revision.
+// Requests the store's changes after a revision from a relay, as a long poll.
 struct StoreUpdateRequestMessage
 {
     CorrelationId id;
     Revision after;
-    Duration wait {}; // For a first change; in whole milliseconds on the wire.
+    Duration wait {}; // Longest wait for a first change; in whole milliseconds on the wire.
     bool storeLost = false; // The sender can't reach the store itself.
 };
 
 enum class UpdateVerdict {
-    Update, // All changes after the asked revision, up to `upTo`; there may be none.
-    NoView, // The receiver is no relay, or has just begun to be one.
-    StoreLost, // It can't reach the store either.
-    TooOld, // Its memory does not reach back to the asked revision.
-    TooLarge, // There are more changes than it passes on at once.
+    Update, // All changes after the requested revision, up to `upTo`; there may be none.
+    NoView, // The daemon is not a relay, or has just become one and has no view yet.
+    StoreLost, // The relay can't reach the store either.
+    TooOld, // The relay's change log does not reach back to the requested revision.
+    TooLarge, // The changes of one revision exceed what the relay sends in one message.
 };
 
 struct StoreUpdateMessage
 {
-    CorrelationId id; // Of the question.
+    CorrelationId id; // Of the request.
     UpdateVerdict verdict = UpdateVerdict::NoView;
     Revision upTo;
-    // How long before the question arrived the relay's picture held every change; negative if it
-    // held them later. Whole milliseconds on the wire, rounded up.
+    // Time from the moment up to which the relay's view holds every change to the arrival of the
+    // request; negative if that moment is after the arrival. Whole milliseconds on the wire,
+    // rounded up.
     Duration staleness {};
-    std::vector<StoreChange> changes; // The newest of each key, in order.
-    bool moreFollow = false; // There are changes after `upTo`: the next question brings them.
+    std::vector<StoreChange> changes; // The newest of each key, in revision order.
+    bool moreFollow = false; // There are changes after `upTo`; another request returns them.
 };
 
-// What the sender has under way, or, from one relay to another, the sum over all that follow it.
+// The sender's load, or, from one relay to another, the sum over the sender and its followers.
 struct LoadReportMessage
 {
-    bool ofGroup = false;
+    bool isGroupSum = false;
     SharedLoad load;
 };
 
-// From a relay to those that follow it: the sum over all daemons that any relay knows of.
-struct LoadSumMessage
+// From a relay to its followers: the sum over all daemons that any relay has reports of.
+struct TotalLoadMessage
 {
     SharedLoad load;
 };
 
-// What servers said of themselves, as far as it is news.
+// What servers have newly said of themselves: their request limits, and that they are leaving.
 struct ServerUpdateMessage
 {
     ServerNews update;
@@ -182,12 +184,12 @@
                  ClaimReplyMessage, SettleMessage, HandoverMessage, HandoverAckMessage,
                  ConfirmMessage, InForceMessage, ConfigQueryMessage, ConfigMessage,
                  CopyGrantMessage, CopyAckMessage, StoreUpdateRequestMessage, StoreUpdateMessage,
-                 LoadReportMessage, LoadSumMessage, ServerUpdateMessage>;
+                 LoadReportMessage, TotalLoadMessage, ServerUpdateMessage>;
 
 std::string encode(const PeerMessage &message);
 
-// `now` turns ages into local times. Errors: InvalidInput for anything that is not a message;
-// NotFound for a type that this version does not know.
+// `now` converts ages to local times. Errors: InvalidInput for bytes that are not a valid message;
+// NotFound for a message type that this version does not know.
 Result<PeerMessage> decode(const std::string &bytes, MonotonicTime now);
 
 } // namespace ramphinge
--- a/ramphinge/peers/peers_test.cpp
+++ b/ramphinge/peers/peers_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the peer codec: every message survives its wire form; hostile bytes are refused.
+// Tests of the peer protocol: messages round-trip, hostile bytes are rejected, links require the
+// shared key.
 
 #include <limits>
 
@@ -19,7 +20,7 @@
 
 const MonotonicTime now(std::chrono::seconds(100));
 
-std::vector<PeerMessage> oneOfEach()
+std::vector<PeerMessage> oneMessageOfEachType()
 {
     const SlotId slot { ZoneId("a"), SlotNumber(3) };
     const ClaimAttempt attempt { { AccountId("acme"), IdempotencyKey("k") }, 17, RequestId("r") };
@@ -64,7 +65,7 @@
         LoadReportMessage { true,
                             { { { HostId("h"), 3, 1400 }, { HostId("i"), 1, 0 } },
                               { { ModelId("chat"), { 250.5, 7 } } } } },
-        LoadSumMessage { { { { HostId("h"), 9, 5600 } }, {} } },
+        TotalLoadMessage { { { { HostId("h"), 9, 5600 } }, {} } },
         ServerUpdateMessage {
             { { { { HostId("h"), ZoneId("z") }, RequestRate(1.6), std::chrono::milliseconds(40) },
                 { { HostId("i"), ZoneId("z") }, std::nullopt, {} } },
@@ -77,22 +78,22 @@
 class PeersTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PeersTest);
-    CPPUNIT_TEST(everyMessageSurvivesItsWireForm);
+    CPPUNIT_TEST(everyMessageRoundTrips);
     CPPUNIT_TEST(agesBecomeLocalTimes);
-    CPPUNIT_TEST(unknownTypesAreToldApartFromGarbage);
-    CPPUNIT_TEST(deepNestingIsRefused);
-    CPPUNIT_TEST(damagedBytesNeverCrash);
-    CPPUNIT_TEST(linksProveTheKeyAndCarryMessages);
-    CPPUNIT_TEST(wrongKeyGetsNoLink);
-    CPPUNIT_TEST(nestedStringsAreRefused);
-    CPPUNIT_TEST(badGreetingsAreRefused);
-    CPPUNIT_TEST(timesOfMessagesAreBounded);
+    CPPUNIT_TEST(unknownTypesAreDistinguishedFromInvalidBytes);
+    CPPUNIT_TEST(deepNestingIsRejected);
+    CPPUNIT_TEST(corruptedBytesNeverCrash);
+    CPPUNIT_TEST(linksAuthenticateAndDeliverMessages);
+    CPPUNIT_TEST(linkWithWrongKeyIsRejected);
+    CPPUNIT_TEST(nestedIndefiniteStringsAreRejected);
+    CPPUNIT_TEST(malformedHandshakesAreRejected);
+    CPPUNIT_TEST(timesInMessagesAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void everyMessageSurvivesItsWireForm()
+    void everyMessageRoundTrips()
     {
-        const std::vector<PeerMessage> all = oneOfEach();
+        const std::vector<PeerMessage> all = oneMessageOfEachType();
         CPPUNIT_ASSERT_EQUAL(std::variant_size_v<PeerMessage>, all.size());
         for (const PeerMessage &message : all) {
             const Result<PeerMessage> read = decode(encode(message), now);
@@ -104,70 +105,61 @@
 
     void agesBecomeLocalTimes()
     {
-        const Result<PeerMessage> read = decode(encode(oneOfEach()[1]), now);
+        const Result<PeerMessage> read = decode(encode(oneMessageOfEachType()[1]), now);
         const auto &hosts = std::get<ObservationsMessage>(read.value());
         CPPUNIT_ASSERT(hosts.observations[0].observation.madeAt == now - Milliseconds(20));
     }
 
-    void unknownTypesAreToldApartFromGarbage()
+    void unknownTypesAreDistinguishedFromInvalidBytes()
     {
         // {"t": "later"}
-        const std::string later("\xa1\x61\x74\x65later", 9);
-        CPPUNIT_ASSERT(decode(later, now).error().kind() == ErrorKind::NotFound);
+        const std::string unknownType("\xa1\x61\x74\x65later", 9);
+        CPPUNIT_ASSERT(decode(unknownType, now).error().kind() == ErrorKind::NotFound);
         CPPUNIT_ASSERT(decode("garbage", now).error().kind() == ErrorKind::InvalidInput);
         CPPUNIT_ASSERT(decode("", now).error().kind() == ErrorKind::InvalidInput);
     }
 
-    void deepNestingIsRefused()
+    void deepNestingIsRejected()
     {
         const std::string bytes(1'000'000, '\x81');
         CPPUNIT_ASSERT(decode(bytes, now).error().kind() == ErrorKind::InvalidInput);
     }
 
-    // What users would see: a daemon that ends by a segmentation fault.
-    //
-    // Order of events: a peer that has proved the key sends a frame that begins a text of
-    // indefinite length, and in it another one, and so on.
-    //
-    // Cause: the library reads the parts of such a text by recursion, before it tells anything of
-    // them, so a guard of the depth sees none of it: the frame's length is the depth of the stack.
-    //
-    // Evidence: without the mend this test ends by signal 11.
-    void nestedStringsAreRefused()
+    // Guards against a daemon that crashes with signal 11. An authenticated peer sends a frame of
+    // nested strings of indefinite length. The library parses their chunks recursively before it
+    // calls back, so a depth limit in a callback doesn't help: the stack grows with the frame's
+    // length.
+    void nestedIndefiniteStringsAreRejected()
     {
-        for (const char begin : { '\x7f', '\x5f' }) {
-            const std::string bytes(2'000'000, begin);
+        for (const char stringHead : { '\x7f', '\x5f' }) {
+            const std::string bytes(2'000'000, stringHead);
             CPPUNIT_ASSERT(decode(bytes, now).error().kind() == ErrorKind::InvalidInput);
-            const std::string inside = "\xa1\x61\x74" + bytes; // {"t": ...
-            CPPUNIT_ASSERT(decode(inside, now).error().kind() == ErrorKind::InvalidInput);
+            const std::string nested = "\xa1\x61\x74" + bytes; // {"t": ...
+            CPPUNIT_ASSERT(decode(nested, now).error().kind() == ErrorKind::InvalidInput);
         }
     }
 
-    // What users would see: a daemon that ends with status 2, and all requests on it with it.
-    //
-    // Order of events: somebody who reaches the port of the links, and needs no key for it, greets
-    // with a field of another type than a text.
-    //
-    // Cause: the read of that field throws, in a handler of the event loop.
-    //
-    // Evidence: without the mend this test ends by that exception.
-    void badGreetingsAreRefused()
+    // Guards against a daemon that ends with status 2, and all of its requests with it. An
+    // unauthenticated client sends a handshake with a field that is not a string. Reading the field
+    // throws, in a handler of the event loop.
+    void malformedHandshakesAreRejected()
     {
-        for (const char *greeting :
+        for (const char *handshake :
              { R"({"d":1,"n":"0123456789abcdef"})", R"({"d":"c","n":["0123456789abcdef"]})",
                R"({"d":null,"n":{}})", R"([])", R"({})", "", "{", "\xff" }) {
-            CPPUNIT_ASSERT(isRefused({ greeting }));
+            CPPUNIT_ASSERT(isRejected({ handshake }));
         }
-        const std::string sound = R"({"d":"c","n":"0123456789abcdef"})";
+        const std::string validHandshake = R"({"d":"c","n":"0123456789abcdef"})";
         for (const char *proof : { R"({"proof":7})", R"({"proof":{"proof":""}})", R"({"d":1})" })
-            CPPUNIT_ASSERT(isRefused({ sound, proof }));
+            CPPUNIT_ASSERT(isRejected({ validHandshake, proof }));
     }
 
-    // A count of milliseconds that is too large for a duration came out as any other, also as a
-    // negative one: a proof of news could date from the future.
-    void timesOfMessagesAreBounded()
+    // Guards against a store update that counts as fresh up to a time in the future. A count of
+    // milliseconds that is too large for a Duration overflows to an arbitrary, possibly negative
+    // one.
+    void timesInMessagesAreBounded()
     {
-        const Duration most = std::chrono::hours(24);
+        const Duration limit = std::chrono::hours(24);
         for (const std::int64_t count :
              { std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min(),
                std::int64_t(1) << 60U, std::int64_t(9'300'000'000'000) }) {
@@ -181,42 +173,42 @@
                                           { "b", count },
                                           { "c", nlohmann::json::array() } };
             const Duration wait = std::get<StoreUpdateRequestMessage>(decoded(request)).wait;
-            const Duration proven = std::get<StoreUpdateMessage>(decoded(update)).staleness;
-            for (const Duration read : { wait, proven })
-                CPPUNIT_ASSERT(count > 0 ? read > Duration::zero() && read <= most
-                                         : read < Duration::zero() && read >= -most);
+            const Duration staleness = std::get<StoreUpdateMessage>(decoded(update)).staleness;
+            for (const Duration read : { wait, staleness })
+                CPPUNIT_ASSERT(count > 0 ? read > Duration::zero() && read <= limit
+                                         : read < Duration::zero() && read >= -limit);
         }
     }
 
-    void damagedBytesNeverCrash()
+    void corruptedBytesNeverCrash()
     {
-        const bool held = rc::check("damaged messages are refused or read", [] {
+        const bool holds = rc::check("corrupted messages are rejected or decoded", [] {
             Random random(*rc::gen::arbitrary<std::uint32_t>());
-            const std::vector<PeerMessage> all = oneOfEach();
+            const std::vector<PeerMessage> all = oneMessageOfEachType();
             std::string bytes = encode(all[random.below(all.size())]);
             for (std::uint64_t i = 0; i <= random.below(4); ++i)
                 bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
             bytes.resize(bytes.size() - random.below(3));
             decode(bytes, now);
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(holds);
     }
 
-    void linksProveTheKeyAndCarryMessages()
+    void linksAuthenticateAndDeliverMessages()
     {
-        Pair pair("0123456789abcdef", "0123456789abcdef");
-        pair.run([&] { return pair.a.got == 1; });
-        CPPUNIT_ASSERT_EQUAL(1, pair.a.got);
+        NetworkPair pair("0123456789abcdef", "0123456789abcdef");
+        pair.run([&] { return pair.a.receivedMessages == 1; });
+        CPPUNIT_ASSERT_EQUAL(1, pair.a.receivedMessages);
         CPPUNIT_ASSERT(pair.second->linked(DaemonId("a")));
     }
 
-    void wrongKeyGetsNoLink()
+    void linkWithWrongKeyIsRejected()
     {
-        Pair pair("0123456789abcdef", "another key, 16 bytes");
+        NetworkPair pair("0123456789abcdef", "another key, 16 bytes");
         pair.run([&] { return pair.first->traffic().refused > 0; });
         CPPUNIT_ASSERT(!pair.first->linked(DaemonId("b")));
         CPPUNIT_ASSERT(!pair.second->linked(DaemonId("a")));
-        CPPUNIT_ASSERT_EQUAL(0, pair.a.got);
+        CPPUNIT_ASSERT_EQUAL(0, pair.a.receivedMessages);
     }
 
 private:
@@ -229,30 +221,30 @@
         return message.value();
     }
 
-    // Whether a network refuses whoever dials it and says that.
-    static bool isRefused(const std::vector<std::string> &said)
+    // Whether a network rejects a client that connects and sends `payloads`.
+    static bool isRejected(const std::vector<std::string> &payloads)
     {
         IoContext io;
-        Counter counter;
+        CountingHandler handler;
         PeerNetworkOptions options;
         options.self = DaemonId("a");
         options.listen = { "127.0.0.1", 19'473 };
         options.sharedKey = "0123456789abcdef";
-        const auto network = PeerNetwork::listen(io, options, counter);
+        const auto network = PeerNetwork::listen(io, options, handler);
         CPPUNIT_ASSERT(network.ok());
-        spawnCoroutine(io, [&io, &said](Yield yield) {
+        spawnCoroutine(io, [&io, &payloads](Yield yield) {
             namespace websocket = boost::beast::websocket;
             websocket::stream<boost::beast::tcp_stream> stream(io);
             stream.next_layer().async_connect(
                 { boost::asio::ip::make_address("127.0.0.1"), 19'473 }, yield);
             stream.async_handshake("127.0.0.1:19473", "/peer", yield);
             stream.binary(true);
-            for (const std::string &text : said)
+            for (const std::string &text : payloads)
                 stream.async_write(boost::asio::buffer(text), yield);
-            boost::beast::flat_buffer heard;
+            boost::beast::flat_buffer buffer;
             boost::system::error_code ec;
             while (!ec)
-                stream.async_read(heard, yield[ec]);
+                stream.async_read(buffer, yield[ec]);
         });
         for (int i = 0; i < 5000 && network.value()->traffic().refused == 0; ++i)
             io.run_one_for(std::chrono::seconds(2));
@@ -262,22 +254,22 @@
         return refused && !network.value()->linked(DaemonId("c"));
     }
 
-    struct Counter : public PeerHandler
+    struct CountingHandler : public PeerHandler
     {
-        void onMessage(const DaemonId &, const PeerMessage &) override { ++got; }
+        void onMessage(const DaemonId &, const PeerMessage &) override { ++receivedMessages; }
         void onLink(const DaemonId &peer, bool up) override
         {
             if (up && network != nullptr)
                 network->send(peer, InForceMessage { 1 });
         }
         PeerNetwork *network = nullptr;
-        int got = 0;
+        int receivedMessages = 0;
     };
 
-    // Two networks on one loop; the second dials the first and greets it.
-    struct Pair
+    // Two networks on one event loop. The second connects to the first and sends it one message.
+    struct NetworkPair
     {
-        Pair(const std::string &keyA, const std::string &keyB)
+        NetworkPair(const std::string &keyA, const std::string &keyB)
         {
             first = listen("a", keyA, 19'471, a);
             second = listen("b", keyB, 19'472, b);
@@ -286,18 +278,18 @@
         }
 
         std::unique_ptr<PeerNetwork> listen(const std::string &name, const std::string &key,
-                                            std::uint16_t port, Counter &counter)
+                                            std::uint16_t port, CountingHandler &handler)
         {
             PeerNetworkOptions options;
             options.self = DaemonId(name);
             options.listen = { "127.0.0.1", port };
             options.sharedKey = key;
-            auto made = PeerNetwork::listen(io, options, counter);
+            auto made = PeerNetwork::listen(io, options, handler);
             CPPUNIT_ASSERT(made.ok());
             return std::move(made.value());
         }
 
-        // Runs the loop until `done`, at most some thousand events.
+        // Runs the loop until `done`, for 5000 events at most.
         void run(const std::function<bool()> &done)
         {
             for (int i = 0; i < 5000 && !done(); ++i)
@@ -305,8 +297,8 @@
         }
 
         IoContext io;
-        Counter a;
-        Counter b;
+        CountingHandler a;
+        CountingHandler b;
         std::unique_ptr<PeerNetwork> first;
         std::unique_ptr<PeerNetwork> second;
     };
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -1,4 +1,4 @@
-// Passing the store's changes on: see relay_node.h.
+// Relays the store's changes between daemons: see relay_node.h.
 
 #include "ramphinge/relay/relay_node.h"
 
@@ -27,7 +27,7 @@
     return "unknown";
 }
 
-ErrorKind kindOf(UpdateVerdict verdict)
+ErrorKind errorKindOf(UpdateVerdict verdict)
 {
     switch (verdict) {
     case UpdateVerdict::TooOld:
@@ -44,29 +44,30 @@
 RelayNode::RelayNode(IoContext &io, const Clock &clock, RelayNodeOptions options, DecisionLog &log,
                      Metrics &metrics)
     : m_io(io), m_clock(clock), m_options(std::move(options)), m_log(log), m_metrics(metrics),
-      m_updateFeed(m_options.feed, m_options.log), m_loads(m_options.loads), m_answered(io),
-      m_changed(io)
+      m_updateFeed(m_options.feed, m_options.log), m_loads(m_options.loads), m_responseSignal(io),
+      m_feedSignal(io)
 { }
 
 void RelayNode::run(Yield yield)
 {
     while (!m_stopping) {
         const MonotonicTime now = m_clock.now();
-        const MonotonicTime next = m_updateFeed.nextDeadline().value_or(now + m_options.idle);
+        const MonotonicTime next =
+            m_updateFeed.nextDeadline().value_or(now + m_options.maxIdleWait);
         if (next > now)
-            m_changed.wait(std::min(next - now, m_options.idle), yield);
-        m_updateFeed.setServing(isRelay()); // A reserve's time may be over.
-        giveAnswers();
+            m_feedSignal.wait(std::min(next - now, m_options.maxIdleWait), yield);
+        m_updateFeed.setServing(isRelay()); // A reserve stops after reserveActiveTime.
+        sendDueResponses();
     }
 }
 
-void RelayNode::giveAnswers()
+void RelayNode::sendDueResponses()
 {
-    for (const UpdateResponse &answer : m_updateFeed.takeDue(m_clock.now())) {
+    for (const UpdateResponse &response : m_updateFeed.takeDue(m_clock.now())) {
         m_metrics.count(
-            MetricName("relay_answers_total").with("verdict", toString(answer.update.verdict)));
+            MetricName("relay_answers_total").with("verdict", toString(response.update.verdict)));
         if (m_network != nullptr)
-            m_network->send(answer.to, answer.update);
+            m_network->send(response.to, response.update);
     }
 }
 
@@ -78,14 +79,15 @@
 
 void RelayNode::openLinks()
 {
-    const bool isAlone = m_relays.empty() && m_otherRelays.empty() && m_unrelayed.empty();
-    if (m_network != nullptr || m_key.empty() || isAlone || m_options.self.links.port == 0)
+    const bool hasNoPeers =
+        m_relays.empty() && m_otherRelays.empty() && m_daemonsWithoutRelay.empty();
+    if (m_network != nullptr || m_key.empty() || hasNoPeers || m_options.self.links.port == 0)
         return;
     PeerNetworkOptions options;
     options.self = m_options.self.daemon;
     options.listen = m_options.self.links;
     options.sharedKey = m_key;
-    options.maxQueuedBytes = m_options.mostQueuedBytes;
+    options.maxQueuedBytes = m_options.maxQueuedBytes;
     auto network = PeerNetwork::listen(m_io, options, *this);
     if (!network.ok()) {
         m_log.write("no_links", LogWeight::Failure, { { "why", network.error().message() } });
@@ -105,29 +107,29 @@
 {
     const DaemonId &self = m_options.self.daemon;
     RelayChoice choice = chooseRelays(m_options.self.zone, daemons, m_options.choice);
-    const auto holdsSelf = [&self](const std::vector<RelayCandidate> &list) {
+    const auto containsSelf = [&self](const std::vector<RelayCandidate> &list) {
         return std::any_of(list.begin(), list.end(), [&self](const RelayCandidate &candidate) {
             return candidate.daemon == self;
         });
     };
-    const Rank rank = holdsSelf(choice.relays) ? Rank::Relay
-        : holdsSelf(choice.reserves)           ? Rank::Reserve
-                                               : Rank::Follower;
-    if (rank != m_rank)
+    const Role role = containsSelf(choice.relays) ? Role::Relay
+        : containsSelf(choice.reserves)           ? Role::Reserve
+                                                  : Role::Follower;
+    if (role != m_role)
         m_log.write("relay_role", LogWeight::Belief,
-                    { { "is_relay", rank == Rank::Relay },
-                      { "is_reserve", rank == Rank::Reserve },
+                    { { "is_relay", role == Role::Relay },
+                      { "is_reserve", role == Role::Reserve },
                       { "daemons", daemons.size() } });
-    m_rank = rank;
+    m_role = role;
     m_relays = orderRelays(self, std::move(choice.relays));
     for (RelayCandidate &reserve : orderRelays(self, std::move(choice.reserves)))
         m_relays.push_back(std::move(reserve));
-    findOthers(daemons);
+    findOtherDaemons(daemons);
     m_updateFeed.setServing(isRelay());
     openLinks();
 }
 
-void RelayNode::findOthers(const std::vector<RelayCandidate> &daemons)
+void RelayNode::findOtherDaemons(const std::vector<RelayCandidate> &daemons)
 {
     std::map<ZoneId, std::vector<RelayCandidate>> relays;
     for (const RelayCandidate &daemon : daemons)
@@ -140,10 +142,10 @@
     m_otherRelays.clear();
     for (const auto &[zone, chosen] : relays)
         std::copy_if(chosen.begin(), chosen.end(), std::back_inserter(m_otherRelays), isOther);
-    m_unrelayed.clear();
+    m_daemonsWithoutRelay.clear();
     for (const RelayCandidate &daemon : daemons) {
         if (relays[daemon.zone].empty() && isOther(daemon))
-            m_unrelayed.push_back(daemon);
+            m_daemonsWithoutRelay.push_back(daemon);
     }
 }
 
@@ -166,170 +168,172 @@
 {
     if (m_network == nullptr)
         return;
-    tellServerNews();
+    sendServerUpdate();
     if (!m_ownLoad)
         return;
     if (isRelay())
-        tellLoadsAsRelay(m_ownLoad());
+        sendLoadsAsRelay(m_ownLoad());
     else
-        tellLoadAsFollower(m_ownLoad());
+        sendLoadAsFollower(m_ownLoad());
 }
 
-void RelayNode::tellLoadsAsRelay(const SharedLoad &own)
+void RelayNode::sendLoadsAsRelay(const SharedLoad &own)
 {
     const MonotonicTime now = m_clock.now();
     const LoadReportMessage group { true, m_loads.groupSum(own, now) };
     for (const RelayCandidate &relay : m_otherRelays)
-        sendOrCall(relay, group);
-    const LoadSumMessage total { m_loads.totalSum(own, now) };
+        sendOrConnect(relay, group);
+    const TotalLoadMessage total { m_loads.totalSum(own, now) };
     for (const DaemonId &follower : m_loads.followers(now))
         m_network->send(follower, total);
     m_onOthersLoad(subtractOwnLoad(total.load, own));
 }
 
-void RelayNode::tellLoadAsFollower(SharedLoad own)
+void RelayNode::sendLoadAsFollower(SharedLoad own)
 {
-    if (m_answering.empty())
+    if (m_currentRelay.empty())
         return;
-    m_network->send(m_answering, LoadReportMessage { false, own });
-    m_toldLoad = std::move(own);
+    m_network->send(m_currentRelay, LoadReportMessage { false, own });
+    m_lastReportedLoad = std::move(own);
 }
 
-void RelayNode::sendOrCall(const RelayCandidate &daemon, const PeerMessage &message)
+void RelayNode::sendOrConnect(const RelayCandidate &daemon, const PeerMessage &message)
 {
     if (!m_network->send(daemon.daemon, message))
         m_network->connect(daemon.daemon, daemon.links);
 }
 
-void RelayNode::shareServerNews(std::function<ServerNews()> takeNews,
-                                std::function<void(const ServerNews &)> onNews)
+void RelayNode::shareServerNews(std::function<ServerNews()> takeUpdate,
+                                std::function<void(const ServerNews &)> onUpdate)
 {
-    m_takeServerNews = std::move(takeNews);
-    m_onServerNews = std::move(onNews);
+    m_takeServerUpdate = std::move(takeUpdate);
+    m_onServerUpdate = std::move(onUpdate);
 }
 
-void RelayNode::tellServerNews()
+void RelayNode::sendServerUpdate()
 {
-    if (!m_takeServerNews)
+    if (!m_takeServerUpdate)
         return;
-    const ServerUpdateMessage update { m_takeServerNews() };
+    const ServerUpdateMessage update { m_takeServerUpdate() };
     if (update.update.empty())
         return;
     if (!isRelay() && !m_relays.empty()) {
-        tellRelay(update);
+        sendToRelay(update);
         return;
     }
-    std::set<DaemonId> told;
-    for (const std::vector<RelayCandidate> *daemons : { &m_otherRelays, &m_unrelayed }) {
+    std::set<DaemonId> sentTo;
+    for (const std::vector<RelayCandidate> *daemons : { &m_otherRelays, &m_daemonsWithoutRelay }) {
         for (const RelayCandidate &daemon : *daemons) {
-            sendOrCall(daemon, update);
-            told.insert(daemon.daemon);
+            sendOrConnect(daemon, update);
+            sentTo.insert(daemon.daemon);
         }
     }
     for (const DaemonId &peer : m_network->linkedPeers()) {
-        if (told.count(peer) == 0)
+        if (sentTo.count(peer) == 0)
             m_network->send(peer, update);
     }
 }
 
-// Where the bounds leave no time for a relay's word, nobody asks it for the store's changes, and
-// the link to it is there for news of servers only.
-void RelayNode::tellRelay(const ServerUpdateMessage &update)
+// If the staleness bounds are too tight for relayed updates, this daemon requests none and there is
+// no current relay. The link to a relay is then made here, for server updates only.
+void RelayNode::sendToRelay(const ServerUpdateMessage &update)
 {
-    if (!m_answering.empty() && m_network->send(m_answering, update))
+    if (!m_currentRelay.empty() && m_network->send(m_currentRelay, update))
         return;
-    if (const RelayCandidate *relay = firstRelay(m_clock.now(), false))
-        sendOrCall(*relay, update);
+    if (const RelayCandidate *relay = firstAvailableRelay(m_clock.now(), false))
+        sendOrConnect(*relay, update);
 }
 
-bool RelayNode::servesAsReserve() const
+bool RelayNode::isActiveReserve() const
 {
-    return m_rank == Rank::Reserve && m_askedAt
-        && m_clock.now() - *m_askedAt < m_options.reserveServes;
+    return m_role == Role::Reserve && m_lastRequestAt
+        && m_clock.now() - *m_lastRequestAt < m_options.reserveActiveTime;
 }
 
 bool RelayNode::canAsk(bool storeLost) const
 {
-    return m_network != nullptr && !isRelay() && firstRelay(m_clock.now(), storeLost) != nullptr;
+    return m_network != nullptr && !isRelay()
+        && firstAvailableRelay(m_clock.now(), storeLost) != nullptr;
 }
 
-// A daemon that has lost the store itself goes on asking a relay that has lost it too: that one
-// looks for the store more often, and tells as soon as it is back.
-const RelayCandidate *RelayNode::firstRelay(MonotonicTime now, bool storeLost) const
+// A daemon that has lost the store keeps sending requests to a relay that has lost it too: the
+// relay tries the store more often, and responds as soon as it is reachable again.
+const RelayCandidate *RelayNode::firstAvailableRelay(MonotonicTime now, bool storeLost) const
 {
     for (const RelayCandidate &relay : m_relays) {
-        const auto avoided = m_avoided.find(relay.daemon);
-        const bool isAvoided = avoided != m_avoided.end() && now < avoided->second.until
-            && !(storeLost && avoided->second.storeLost);
-        if (!isAvoided && relay.daemon != m_options.self.daemon)
+        const auto backoff = m_backoffs.find(relay.daemon);
+        const bool isBackedOff = backoff != m_backoffs.end() && now < backoff->second.until
+            && !(storeLost && backoff->second.storeLost);
+        if (!isBackedOff && relay.daemon != m_options.self.daemon)
             return &relay;
     }
     return nullptr;
 }
 
-void RelayNode::avoid(const DaemonId &relay, const char *why, Duration length, bool storeLost)
+void RelayNode::backOff(const DaemonId &relay, const char *reason, Duration duration,
+                        bool storeLost)
 {
-    m_avoided[relay] = { m_clock.now() + length, storeLost };
-    m_metrics.count(MetricName("relay_failures_total").with("why", why));
+    m_backoffs[relay] = { m_clock.now() + duration, storeLost };
+    m_metrics.count(MetricName("relay_failures_total").with("why", reason));
     m_log.write("relay_passed_over", LogWeight::Belief,
-                { { "relay", relay.text() }, { "why", why } });
+                { { "relay", relay.text() }, { "why", reason } });
 }
 
-// Calls the relay if there is no link yet.
-bool RelayNode::awaitLink(const RelayCandidate &relay, Yield yield)
+bool RelayNode::waitForLink(const RelayCandidate &relay, Yield yield)
 {
     if (!m_network->linked(relay.daemon)) {
         const MonotonicTime now = m_clock.now();
-        const auto since = m_diallingSince.emplace(relay.daemon, now).first;
+        const auto since = m_connectingSince.emplace(relay.daemon, now).first;
         if (now - since->second > m_options.linkTimeout) {
-            m_diallingSince.erase(since);
-            avoid(relay.daemon, "no_link", m_options.avoidance);
+            m_connectingSince.erase(since);
+            backOff(relay.daemon, "no_link", m_options.relayBackoff);
             return false;
         }
         m_network->connect(relay.daemon, relay.links);
-        m_answered.wait(m_options.linkPatience, yield);
+        m_responseSignal.wait(m_options.linkWait, yield);
     }
     if (!m_network->linked(relay.daemon))
         return false;
-    m_diallingSince.erase(relay.daemon);
+    m_connectingSince.erase(relay.daemon);
     return true;
 }
 
 Result<RelayedNews> RelayNode::next(Revision after, Duration wait, bool storeLost, Yield yield)
 {
     const RelayCandidate *first =
-        m_network == nullptr ? nullptr : firstRelay(m_clock.now(), storeLost);
+        m_network == nullptr ? nullptr : firstAvailableRelay(m_clock.now(), storeLost);
     if (first == nullptr || isRelay())
-        return Error(ErrorKind::Unavailable, "there is no relay to ask now");
+        return Error(ErrorKind::Unavailable, "no relay is available");
     const RelayCandidate relay = *first; // The list may change while this waits.
-    if (!awaitLink(relay, yield))
-        return Error(ErrorKind::Unavailable, "there is no link to the relay yet");
+    if (!waitForLink(relay, yield))
+        return Error(ErrorKind::Unavailable, "no link to the relay yet");
     const MonotonicTime requestedAt = m_clock.now();
-    m_question = { CorrelationId(++m_lastQuestion), std::nullopt };
+    m_request = { CorrelationId(++m_lastRequestId), std::nullopt };
     m_network->send(relay.daemon,
-                    StoreUpdateRequestMessage { m_question.id, after, wait, storeLost });
-    const MonotonicTime latest = requestedAt + wait + m_options.lateness;
-    while (!m_question.answer && m_clock.now() < latest && m_network->linked(relay.daemon))
-        m_answered.wait(latest - m_clock.now(), yield);
-    if (!m_question.answer) {
-        avoid(relay.daemon, "no_answer", m_options.avoidance);
+                    StoreUpdateRequestMessage { m_request.id, after, wait, storeLost });
+    const MonotonicTime deadline = requestedAt + wait + m_options.responseGrace;
+    while (!m_request.response && m_clock.now() < deadline && m_network->linked(relay.daemon))
+        m_responseSignal.wait(deadline - m_clock.now(), yield);
+    if (!m_request.response) {
+        backOff(relay.daemon, "no_answer", m_options.relayBackoff);
         m_network->drop(relay.daemon);
-        return Error(ErrorKind::Unknown, "the relay gave no answer in time");
+        return Error(ErrorKind::Unknown, "the relay did not respond in time");
     }
-    return understand(relay.daemon, *m_question.answer, requestedAt);
+    return toRelayedUpdate(relay.daemon, *m_request.response, requestedAt);
 }
 
-Result<RelayedNews> RelayNode::understand(const DaemonId &relay, const StoreUpdateMessage &update,
-                                          MonotonicTime requestedAt)
+Result<RelayedNews> RelayNode::toRelayedUpdate(const DaemonId &relay,
+                                               const StoreUpdateMessage &update,
+                                               MonotonicTime requestedAt)
 {
     if (update.verdict == UpdateVerdict::NoView)
-        avoid(relay, toString(update.verdict), m_options.shortAvoidance);
+        backOff(relay, toString(update.verdict), m_options.noViewBackoff);
     if (update.verdict == UpdateVerdict::StoreLost)
-        avoid(relay, toString(update.verdict), m_options.avoidance, true);
+        backOff(relay, toString(update.verdict), m_options.relayBackoff, true);
     if (update.verdict != UpdateVerdict::Update)
-        return Error(kindOf(update.verdict),
-                     std::string("the relay answered ") + toString(update.verdict));
-    m_answering = relay;
+        return Error(errorKindOf(update.verdict),
+                     std::string("the relay declined the request: ") + toString(update.verdict));
+    m_currentRelay = relay;
     RelayedNews relayed;
     relayed.batch.upTo = update.upTo;
     relayed.batch.changes = update.changes;
@@ -341,40 +345,40 @@
 void RelayNode::onMessage(const DaemonId &from, const PeerMessage &message)
 {
     if (const auto *request = std::get_if<StoreUpdateRequestMessage>(&message)) {
-        m_askedAt = m_clock.now();
+        m_lastRequestAt = m_clock.now();
         m_updateFeed.setServing(isRelay());
         m_updateFeed.addRequest(from, *request, m_clock.now());
-        m_changed.notify();
+        m_feedSignal.notify();
         return;
     }
     if (const auto *report = std::get_if<LoadReportMessage>(&message)) {
-        if (report->ofGroup)
+        if (report->isGroupSum)
             m_loads.setRelayLoad(from, report->load, m_clock.now());
         else
             m_loads.setFollowerLoad(from, report->load, m_clock.now());
         return;
     }
-    if (const auto *sum = std::get_if<LoadSumMessage>(&message)) {
-        if (m_onOthersLoad && from == m_answering)
-            m_onOthersLoad(subtractOwnLoad(sum->load, m_toldLoad));
+    if (const auto *sum = std::get_if<TotalLoadMessage>(&message)) {
+        if (m_onOthersLoad && from == m_currentRelay)
+            m_onOthersLoad(subtractOwnLoad(sum->load, m_lastReportedLoad));
         return;
     }
-    if (const auto *servers = std::get_if<ServerUpdateMessage>(&message)) {
-        if (m_onServerNews)
-            m_onServerNews(servers->update);
+    if (const auto *serverUpdate = std::get_if<ServerUpdateMessage>(&message)) {
+        if (m_onServerUpdate)
+            m_onServerUpdate(serverUpdate->update);
         return;
     }
     const auto *update = std::get_if<StoreUpdateMessage>(&message);
-    if (update == nullptr || update->id != m_question.id)
-        return; // Late, or of another kind of daemon.
-    m_question.answer = *update;
-    m_answered.notify();
+    if (update == nullptr || update->id != m_request.id)
+        return; // A late response, or a message type that relays don't use.
+    m_request.response = *update;
+    m_responseSignal.notify();
 }
 
 void RelayNode::onLink(const DaemonId &peer, bool up)
 {
     m_metrics.set(MetricName("relay_links"), static_cast<double>(m_network->linkedPeers().size()));
-    m_answered.notify(); // If it is down, a question to it has no answer to wait for.
+    m_responseSignal.notify(); // If the link is down, a request on it gets no response.
     if (!up)
         m_updateFeed.cancelRequest(peer);
 }
@@ -382,19 +386,19 @@
 void RelayNode::pictureListed(Revision upTo, MonotonicTime provenAt)
 {
     m_updateFeed.onListed(upTo, provenAt);
-    m_changed.notify();
+    m_feedSignal.notify();
 }
 
 void RelayNode::pictureAdvanced(const WatchBatch &batch, MonotonicTime provenAt)
 {
     m_updateFeed.onAdvanced(batch, provenAt);
-    m_changed.notify();
+    m_feedSignal.notify();
 }
 
 void RelayNode::pictureStopped()
 {
     m_updateFeed.onStoreLost();
-    m_changed.notify();
+    m_feedSignal.notify();
 }
 
 } // namespace ramphinge
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -1,10 +1,10 @@
-// A daemon's part in passing the store's changes on within its availability zone: it answers others
-// while it is a relay, and asks the zone's relays while it is not.
+// A daemon's part in relaying the store's changes within its availability zone. As a relay it
+// answers the other daemons' requests; otherwise it requests updates from the relays of its zone.
 //
-// Links prove a key that the planner writes to the store, so whoever takes part could read the
-// store too; until the key is known nobody is linked and everybody asks the store. A relay that
-// gives no answer in time, or can't reach the store, is passed over for a while, and the next one
-// is asked.
+// Links authenticate with a key that the planner writes to the store, so every participant could
+// also read the store itself. Until the key is known there are no links, and each daemon reads the
+// store. A relay that doesn't respond in time, or can't reach the store, is skipped for a while,
+// and the next one is tried.
 //
 //   RelayNode relays(io, clock, options, log, metrics);
 //   relays.setKey(key);             // From the store.
@@ -33,67 +33,68 @@
     RelayChoiceOptions choice;
     UpdateFeedOptions feed;
     ChangeLogOptions log;
-    // An answer that comes so long after the time that was to be waited is lost: within a zone one
-    // takes 3 ms, and up to 300 ms where a relay's processor is busy.
-    Duration lateness = std::chrono::milliseconds(500);
-    // A link is made in a few milliseconds; a machine that is off doesn't answer at all.
+    // Time for a response beyond the wait that was requested. A response takes 3 ms within a zone,
+    // and up to 300 ms if the relay's processor is busy.
+    Duration responseGrace = std::chrono::milliseconds(500);
+    // A link is established in a few milliseconds; a machine that is off doesn't respond at all.
     Duration linkTimeout = std::chrono::milliseconds(800);
-    // A question waits for its link for so long: where all daemons start at once, the store would
-    // tell each of them what the relay can.
-    Duration linkPatience = std::chrono::milliseconds(150);
-    // How long a relay is passed over that gave no answer, or had none to give.
-    Duration avoidance = std::chrono::seconds(3);
-    // The same for one that will have news in a moment.
-    Duration shortAvoidance = std::chrono::milliseconds(700);
-    // A reserve is a relay for so long after it was asked.
-    Duration reserveServes = std::chrono::seconds(5);
-    // To one follower; beyond it the link is closed. Two of the largest answers: thirty followers
-    // that read nothing then hold 30 MB of the 160 MB that the smallest machines have.
-    std::size_t mostQueuedBytes = 1024 * 1024;
+    // How long one request waits for its link. Without the wait, daemons that all start at once
+    // would each read from the store what the relay could send them.
+    Duration linkWait = std::chrono::milliseconds(150);
+    // How long a relay is skipped that didn't respond or has lost the store.
+    Duration relayBackoff = std::chrono::seconds(3);
+    // The same for a relay without a view, which will have one soon.
+    Duration noViewBackoff = std::chrono::milliseconds(700);
+    // How long after the last request a reserve acts as a relay.
+    Duration reserveActiveTime = std::chrono::seconds(5);
+    // Send queue for one follower; if it grows beyond, the link is closed. Holds two of the largest
+    // responses: thirty followers that read nothing then take 30 MB of the 160 MB that the smallest
+    // machines have.
+    std::size_t maxQueuedBytes = 1024 * 1024;
     LoadAggregatorOptions loads;
-    // Between two reports of what is under way. In that time a replica gets two or three requests
-    // of the fourteen that it runs at once.
+    // Time between two load reports. A replica gets two or three requests in that time, and runs
+    // fourteen at once.
     Duration loadInterval = std::chrono::milliseconds(250);
-    // At the latest so long after their time are answers given, if nothing else happens.
-    Duration idle = std::chrono::seconds(1);
+    // Longest sleep of run(): responses are late by this at most if no event wakes it.
+    Duration maxIdleWait = std::chrono::seconds(1);
 };
 
-// Lives on the event loop.
+// Used on its event loop only.
 class RelayNode : public NewsSource, public PictureListener, private PeerHandler
 {
 public:
     RelayNode(IoContext &io, const Clock &clock, RelayNodeOptions options, DecisionLog &log,
               Metrics &metrics);
 
-    // Runs until stop(): gives answers when they are due.
+    // Sends responses when they are due, until stop().
     void run(Yield yield);
     void stop() { m_stopping = true; }
 
-    // What this daemon has under way, and who is to hear what the others have.
+    // `own` returns this daemon's load; `onOthers` receives the sum of all other daemons' loads.
     void shareLoads(std::function<SharedLoad()> own,
                     std::function<void(const SharedLoad &)> onOthers);
-    // What is news of servers' own statements, and who is to hear the others' news. They go the way
-    // of the loads; daemons of zones without relays tell each other, as soon as there is any.
-    void shareServerNews(std::function<ServerNews()> takeNews,
-                         std::function<void(const ServerNews &)> onNews);
-    // Runs until stop(): tells and hears what is under way.
+    // `takeUpdate` returns what servers have newly said of themselves; `onUpdate` receives the
+    // updates of other daemons. Updates are sent with each round of runLoads(), by way of the
+    // relays; daemons of zones without relays send them to each other.
+    void shareServerNews(std::function<ServerNews()> takeUpdate,
+                         std::function<void(const ServerNews &)> onUpdate);
+    // Calls exchangeLoads() each loadInterval, until stop().
     void runLoads(Yield yield);
-    // One round of runLoads().
+    // Sends server updates and loads once.
     void exchangeLoads();
 
-    // Ends all links: those that ask this daemon turn to another one.
+    // Closes all links, so that followers turn to another relay.
     void close();
 
-    // The key of the links, as soon as it is known. The port is opened when there is a key and the
-    // zone has relays; a key that comes later is left alone, since links were proved with the
-    // first.
+    // Sets the key of the links. The port is opened once the key and other daemons to link with are
+    // known. A later key has no effect on it: existing links were authenticated with the first.
     void setKey(const std::string &key);
 
-    // The registered daemons, this one among them.
+    // Sets the registered daemons, including this one.
     void setDaemons(const std::vector<RelayCandidate> &daemons);
 
-    // Whether others follow this daemon's picture: it asks the store itself then.
-    bool isRelay() const { return m_rank == Rank::Relay || servesAsReserve(); }
+    // Whether this daemon serves its view to others; it then reads the store itself.
+    bool isRelay() const { return m_role == Role::Relay || isActiveReserve(); }
 
     bool canAsk(bool storeLost) const override;
     Result<RelayedNews> next(Revision after, Duration wait, bool storeLost, Yield yield) override;
@@ -103,39 +104,41 @@
     void pictureStopped() override;
 
 private:
-    enum class Rank { Follower, Reserve, Relay };
+    enum class Role { Follower, Reserve, Relay };
 
-    struct Avoidance
+    struct Backoff
     {
         MonotonicTime until;
-        bool storeLost = false; // Only because it can't reach the store.
+        bool storeLost = false; // The only reason is that the relay can't reach the store.
     };
 
-    struct Question
+    struct OutstandingRequest
     {
         CorrelationId id;
-        std::optional<StoreUpdateMessage> answer;
+        std::optional<StoreUpdateMessage> response;
     };
 
     void onMessage(const DaemonId &from, const PeerMessage &message) override;
     void onLink(const DaemonId &peer, bool up) override;
     void openLinks();
-    void tellLoadsAsRelay(const SharedLoad &own);
-    void tellLoadAsFollower(SharedLoad own);
-    void tellServerNews();
-    void tellRelay(const ServerUpdateMessage &update);
-    // Calls the daemon if there is no link yet.
-    void sendOrCall(const RelayCandidate &daemon, const PeerMessage &message);
-    void giveAnswers();
-    bool servesAsReserve() const;
-    void findOthers(const std::vector<RelayCandidate> &daemons);
-    // The first relay that is not passed over now; null if there is none.
-    const RelayCandidate *firstRelay(MonotonicTime now, bool storeLost) const;
-    // Waits a moment for a link that is being made.
-    bool awaitLink(const RelayCandidate &relay, Yield yield);
-    Result<RelayedNews> understand(const DaemonId &relay, const StoreUpdateMessage &update,
-                                   MonotonicTime requestedAt);
-    void avoid(const DaemonId &relay, const char *why, Duration length, bool storeLost = false);
+    void sendLoadsAsRelay(const SharedLoad &own);
+    void sendLoadAsFollower(SharedLoad own);
+    void sendServerUpdate();
+    void sendToRelay(const ServerUpdateMessage &update);
+    // If there is no link, drops the message and starts to connect.
+    void sendOrConnect(const RelayCandidate &daemon, const PeerMessage &message);
+    void sendDueResponses();
+    bool isActiveReserve() const;
+    void findOtherDaemons(const std::vector<RelayCandidate> &daemons);
+    // The first relay that is not in backoff; null if there is none. With `storeLost`, a relay in
+    // backoff because it lost the store counts as available.
+    const RelayCandidate *firstAvailableRelay(MonotonicTime now, bool storeLost) const;
+    // Connects if needed, and waits up to linkWait. False if there is no link then.
+    bool waitForLink(const RelayCandidate &relay, Yield yield);
+    Result<RelayedNews> toRelayedUpdate(const DaemonId &relay, const StoreUpdateMessage &update,
+                                        MonotonicTime requestedAt);
+    void backOff(const DaemonId &relay, const char *reason, Duration duration,
+                 bool storeLost = false);
 
     IoContext &m_io;
     const Clock &m_clock;
@@ -144,26 +147,27 @@
     Metrics &m_metrics;
     UpdateFeed m_updateFeed;
     std::string m_key; // Of the links; empty until it is known.
-    std::unique_ptr<PeerNetwork> m_network; // Null until the links are opened.
-    // Of the zone, in the order in which this daemon asks them; the reserves last.
+    std::unique_ptr<PeerNetwork> m_network; // Null until the port is opened.
+    // The zone's relays in the order in which this daemon tries them, then the reserves.
     std::vector<RelayCandidate> m_relays;
-    Rank m_rank = Rank::Follower;
-    std::vector<RelayCandidate> m_otherRelays; // Of all zones, without this daemon.
-    std::vector<RelayCandidate> m_unrelayed; // Daemons of zones without relays, without this one.
-    DaemonId m_answering; // The relay that answered last.
+    Role m_role = Role::Follower;
+    std::vector<RelayCandidate> m_otherRelays; // Of all zones, except this daemon.
+    // The daemons of zones without relays, except this daemon.
+    std::vector<RelayCandidate> m_daemonsWithoutRelay;
+    DaemonId m_currentRelay; // The relay that sent the last update; empty before.
     LoadAggregator m_loads;
-    SharedLoad m_toldLoad; // This daemon's own, as it last told its relay.
+    SharedLoad m_lastReportedLoad; // This daemon's own load, as last sent to its relay.
     std::function<SharedLoad()> m_ownLoad; // Empty: loads are not shared.
     std::function<void(const SharedLoad &)> m_onOthersLoad;
-    std::function<ServerNews()> m_takeServerNews; // Empty: it is not shared.
-    std::function<void(const ServerNews &)> m_onServerNews;
-    std::optional<MonotonicTime> m_askedAt; // As a reserve, when somebody last did.
-    std::map<DaemonId, Avoidance> m_avoided;
-    std::map<DaemonId, MonotonicTime> m_diallingSince; // Relays without a link that were called.
-    Question m_question; // The present one: there is one at a time.
-    std::int64_t m_lastQuestion = 0;
-    Signal m_answered; // Of m_question; or a link has changed.
-    Signal m_changed; // Something may be due at the desk.
+    std::function<ServerNews()> m_takeServerUpdate; // Empty: server updates are not sent.
+    std::function<void(const ServerNews &)> m_onServerUpdate;
+    std::optional<MonotonicTime> m_lastRequestAt; // When a follower last sent a request.
+    std::map<DaemonId, Backoff> m_backoffs;
+    std::map<DaemonId, MonotonicTime> m_connectingSince; // Relays without a link yet.
+    OutstandingRequest m_request; // The latest request of next(); one at a time.
+    std::int64_t m_lastRequestId = 0;
+    Signal m_responseSignal; // A response to m_request has arrived, or a link has changed.
+    Signal m_feedSignal; // A response of m_updateFeed may be due.
     bool m_stopping = false;
 };
 
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -1,5 +1,5 @@
-// Tests of relays over real links on the loopback interface: news, loads, relays that vanish, keys
-// that differ, reserves.
+// Tests of relays over links on the loopback interface: updates, loads, unresponsive relays,
+// differing keys, reserves.
 
 #include "ramphinge/relay/relay_node.h"
 #include "ramphinge/testing/cppunit_main.h"
@@ -14,13 +14,13 @@
     return { StoreKey(key), StoredValue { value, Revision(revision) } };
 }
 
-// Two daemons' nodes on the loopback interface.
+// A relay and a follower on the loopback interface.
 class LinkedPair
 {
 public:
     explicit LinkedPair(IoContext &io, int fewestDaemons = 2)
         : log(clock, {}), relay(io, clock, optionsOf("relay", 1, fewestDaemons), log, metrics),
-          leaf(io, clock, optionsOf("leaf", 0.1, fewestDaemons), log, metrics)
+          follower(io, clock, optionsOf("follower", 0.1, fewestDaemons), log, metrics)
     { }
 
     static RelayNodeOptions optionsOf(const std::string &name, double processor,
@@ -36,32 +36,32 @@
         return options;
     }
 
-    void introduce()
+    void registerBoth()
     {
-        for (RelayNode *node : { &relay, &leaf })
-            node->setDaemons({ optionsOf("relay", 1).self, optionsOf("leaf", 0.1).self });
+        for (RelayNode *node : { &relay, &follower })
+            node->setDaemons({ optionsOf("relay", 1).self, optionsOf("follower", 0.1).self });
     }
 
-    // Until the link stands.
-    Result<RelayedNews> askUntilLinked(IoContext &io, Revision after, Yield yield)
+    // Requests an update, with retries until the link is established.
+    Result<RelayedNews> requestUpdate(IoContext &io, Revision after, Yield yield)
     {
-        Result<RelayedNews> update = leaf.next(after, Duration::zero(), false, yield);
+        Result<RelayedNews> update = follower.next(after, Duration::zero(), false, yield);
         for (int i = 0; i < 400 && !update.ok() && isNoLink(update.error()); ++i) {
-            sleepFor(io, std::chrono::milliseconds(5), yield); // For the loop to make it.
-            update = leaf.next(after, Duration::zero(), false, yield);
+            sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop open the link.
+            update = follower.next(after, Duration::zero(), false, yield);
         }
         return update;
     }
 
-    // The leaf follows the relay from now on.
-    void follow(IoContext &io, Yield yield)
+    // Starts the relay and links the follower with it.
+    void linkFollower(IoContext &io, Yield yield)
     {
-        introduce();
-        for (RelayNode *node : { &relay, &leaf })
+        registerBoth();
+        for (RelayNode *node : { &relay, &follower })
             node->setKey("secret");
         spawnCoroutine(io, [this](Yield inner) { relay.run(inner); });
         relay.pictureListed(Revision(4), clock.now());
-        CPPUNIT_ASSERT(askUntilLinked(io, Revision(4), yield).ok());
+        CPPUNIT_ASSERT(requestUpdate(io, Revision(4), yield).ok());
     }
 
     static bool isNoLink(const Error &error)
@@ -74,7 +74,7 @@
     DecisionLog log;
     Metrics metrics;
     RelayNode relay;
-    RelayNode leaf;
+    RelayNode follower;
 };
 
 } // namespace
@@ -82,177 +82,180 @@
 class RelayNodeTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayNodeTest);
-    CPPUNIT_TEST(newsComeOverALink);
-    CPPUNIT_TEST(relayThatVanishesIsPassedOver);
-    CPPUNIT_TEST(wrongKeyGetsNoNews);
-    CPPUNIT_TEST(loadsComeOverALink);
-    CPPUNIT_TEST(serverNewsComesOverALink);
-    CPPUNIT_TEST(serverNewsComesToZonesWithoutRelays);
-    CPPUNIT_TEST(serverNewsComesToDaemonsThatDoNotFollowTheirRelay);
-    CPPUNIT_TEST(reserveIsARelayWhileItIsAsked);
+    CPPUNIT_TEST(updatesArriveOverALink);
+    CPPUNIT_TEST(unresponsiveRelayIsSkipped);
+    CPPUNIT_TEST(wrongKeyGetsNoUpdates);
+    CPPUNIT_TEST(loadsArriveOverALink);
+    CPPUNIT_TEST(serverUpdatesArriveOverALink);
+    CPPUNIT_TEST(serverUpdatesReachZonesWithoutRelays);
+    CPPUNIT_TEST(serverUpdatesReachDaemonsWithoutACurrentRelay);
+    CPPUNIT_TEST(reserveActsAsRelayWhileRequestsArrive);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newsComeOverALink()
+    void updatesArriveOverALink()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             LinkedPair pair(io);
-            pair.introduce();
-            CPPUNIT_ASSERT(!pair.leaf.canAsk(false)); // The key of the links isn't known yet.
-            for (RelayNode *node : { &pair.relay, &pair.leaf })
+            pair.registerBoth();
+            CPPUNIT_ASSERT(!pair.follower.canAsk(false)); // The key of the links isn't known yet.
+            for (RelayNode *node : { &pair.relay, &pair.follower })
                 node->setKey("secret");
-            CPPUNIT_ASSERT(pair.relay.isRelay() && !pair.leaf.isRelay());
-            CPPUNIT_ASSERT(pair.leaf.canAsk(false) && !pair.relay.canAsk(false));
+            CPPUNIT_ASSERT(pair.relay.isRelay() && !pair.follower.isRelay());
+            CPPUNIT_ASSERT(pair.follower.canAsk(false) && !pair.relay.canAsk(false));
             spawnCoroutine(io, [&pair](Yield inner) { pair.relay.run(inner); });
             pair.relay.pictureListed(Revision(4), pair.clock.now());
             pair.relay.pictureAdvanced({ Revision(5), true, { put("k", "v", 5) } },
                                        pair.clock.now());
-            const Result<RelayedNews> update = pair.askUntilLinked(io, Revision(4), yield);
+            const Result<RelayedNews> update = pair.requestUpdate(io, Revision(4), yield);
             CPPUNIT_ASSERT(update.ok());
             CPPUNIT_ASSERT_EQUAL(Revision(5), update.value().batch.upTo);
             CPPUNIT_ASSERT_EQUAL(std::string("v"),
                                  update.value().batch.changes.at(0).stored->value);
             CPPUNIT_ASSERT(update.value().provenAt <= pair.clock.now());
-            const Result<RelayedNews> old = pair.askUntilLinked(io, Revision(3), yield);
+            const Result<RelayedNews> old = pair.requestUpdate(io, Revision(3), yield);
             CPPUNIT_ASSERT(old.error().kind() == ErrorKind::NotFound);
             pair.relay.pictureStopped();
-            const Result<RelayedNews> lost = pair.askUntilLinked(io, Revision(5), yield);
+            const Result<RelayedNews> lost = pair.requestUpdate(io, Revision(5), yield);
             CPPUNIT_ASSERT(lost.error().kind() == ErrorKind::Unavailable);
-            CPPUNIT_ASSERT(!pair.leaf.canAsk(false)); // Passed over for a while.
-            CPPUNIT_ASSERT(pair.leaf.canAsk(true)); // But not by one that has lost it too.
-            pair.clock.advance(RelayNodeOptions().avoidance);
-            CPPUNIT_ASSERT(pair.leaf.canAsk(false));
+            CPPUNIT_ASSERT(!pair.follower.canAsk(false)); // In backoff.
+            CPPUNIT_ASSERT(pair.follower.canAsk(true)); // Without the store, it is available.
+            pair.clock.advance(RelayNodeOptions().relayBackoff);
+            CPPUNIT_ASSERT(pair.follower.canAsk(false));
         });
     }
 
-    void relayThatVanishesIsPassedOver()
+    void unresponsiveRelayIsSkipped()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             auto pair = std::make_unique<LinkedPair>(io);
-            pair->introduce();
-            for (RelayNode *node : { &pair->relay, &pair->leaf })
+            pair->registerBoth();
+            for (RelayNode *node : { &pair->relay, &pair->follower })
                 node->setKey("secret");
             pair->relay.pictureListed(Revision(4), pair->clock.now());
-            // Nobody gives the relay's answers: it stands still, and then its links end.
+            // The relay sends no responses, since its run() isn't called; then its links end.
             spawnCoroutine(io, [&](Yield inner) {
                 while (pair->metrics.value(MetricName("relay_links")) < 1)
                     sleepFor(io, std::chrono::milliseconds(5), inner);
                 sleepFor(io, std::chrono::milliseconds(50), inner);
                 pair->relay.close();
             });
-            const Result<RelayedNews> update = pair->askUntilLinked(io, Revision(4), yield);
+            const Result<RelayedNews> update = pair->requestUpdate(io, Revision(4), yield);
             CPPUNIT_ASSERT(update.error().kind() == ErrorKind::Unknown);
-            CPPUNIT_ASSERT(!pair->leaf.canAsk(false));
+            CPPUNIT_ASSERT(!pair->follower.canAsk(false));
         });
     }
 
-    void wrongKeyGetsNoNews()
+    void wrongKeyGetsNoUpdates()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             LinkedPair pair(io);
-            pair.introduce();
+            pair.registerBoth();
             pair.relay.setKey("secret");
-            pair.leaf.setKey("another");
+            pair.follower.setKey("another");
             pair.relay.pictureListed(Revision(4), pair.clock.now());
             for (int i = 0; i < 20; ++i) {
                 const Result<RelayedNews> update =
-                    pair.leaf.next(Revision(4), Duration::zero(), false, yield);
+                    pair.follower.next(Revision(4), Duration::zero(), false, yield);
                 CPPUNIT_ASSERT(!update.ok());
-                sleepFor(io, std::chrono::milliseconds(2), yield); // For the loop to try a link.
+                sleepFor(io, std::chrono::milliseconds(2), yield); // Lets the loop try a link.
             }
             pair.clock.advance(std::chrono::seconds(1));
-            CPPUNIT_ASSERT(!pair.leaf.next(Revision(4), Duration::zero(), false, yield).ok());
-            CPPUNIT_ASSERT(!pair.leaf.canAsk(false)); // No link in time: passed over.
+            CPPUNIT_ASSERT(!pair.follower.next(Revision(4), Duration::zero(), false, yield).ok());
+            CPPUNIT_ASSERT(!pair.follower.canAsk(false)); // In backoff: no link in time.
         });
     }
 
-    void loadsComeOverALink()
+    void loadsArriveOverALink()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             LinkedPair pair(io);
-            pair.follow(io, yield);
+            pair.linkFollower(io, yield);
             const HostId host("h");
-            SharedLoad heardByLeaf;
-            SharedLoad heardByRelay;
+            SharedLoad receivedByFollower;
+            SharedLoad receivedByRelay;
             pair.relay.shareLoads(
                 [&] {
                     return SharedLoad { { { host, 2, 20 } }, { { ModelId("chat"), { 8, 1 } } } };
                 },
-                [&](const SharedLoad &others) { heardByRelay = others; });
-            pair.leaf.shareLoads(
+                [&](const SharedLoad &others) { receivedByRelay = others; });
+            pair.follower.shareLoads(
                 [&] {
                     return SharedLoad { { { host, 3, 30 } }, {} };
                 },
-                [&](const SharedLoad &others) { heardByLeaf = others; });
-            for (int i = 0; i < 400 && heardByLeaf.places.empty(); ++i) {
-                pair.leaf.exchangeLoads();
+                [&](const SharedLoad &others) { receivedByFollower = others; });
+            for (int i = 0; i < 400 && receivedByFollower.places.empty(); ++i) {
+                pair.follower.exchangeLoads();
                 pair.relay.exchangeLoads();
-                sleepFor(io, std::chrono::milliseconds(5), yield); // For the loop to carry them.
+                sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop deliver them.
             }
-            CPPUNIT_ASSERT_EQUAL(2, heardByLeaf.places.at(0).running);
-            CPPUNIT_ASSERT_EQUAL(8.0, heardByLeaf.work.at(ModelId("chat")).serverMilliseconds);
-            CPPUNIT_ASSERT_EQUAL(3, heardByRelay.places.at(0).running);
+            CPPUNIT_ASSERT_EQUAL(2, receivedByFollower.places.at(0).running);
+            CPPUNIT_ASSERT_EQUAL(8.0,
+                                 receivedByFollower.work.at(ModelId("chat")).serverMilliseconds);
+            CPPUNIT_ASSERT_EQUAL(3, receivedByRelay.places.at(0).running);
         });
     }
 
-    void serverNewsComesOverALink()
+    void serverUpdatesArriveOverALink()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             LinkedPair pair(io);
-            pair.follow(io, yield);
-            for (RelayNode *node : { &pair.relay, &pair.leaf })
+            pair.linkFollower(io, yield);
+            for (RelayNode *node : { &pair.relay, &pair.follower })
                 node->shareLoads([] { return SharedLoad(); }, [](const SharedLoad &) {});
-            expectServerNewsExchanged(io, pair, yield);
+            expectServerUpdatesExchanged(io, pair, yield);
         });
     }
 
-    void serverNewsComesToZonesWithoutRelays()
+    void serverUpdatesReachZonesWithoutRelays()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
-            LinkedPair pair(io, 3); // From three daemons on there are relays.
-            pair.introduce();
-            for (RelayNode *node : { &pair.relay, &pair.leaf })
+            LinkedPair pair(io, 3); // Two daemons are too few for relays.
+            pair.registerBoth();
+            for (RelayNode *node : { &pair.relay, &pair.follower })
                 node->setKey("secret");
-            expectServerNewsExchanged(io, pair, yield);
+            expectServerUpdatesExchanged(io, pair, yield);
         });
     }
 
-    void serverNewsComesToDaemonsThatDoNotFollowTheirRelay()
+    void serverUpdatesReachDaemonsWithoutACurrentRelay()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             LinkedPair pair(io);
-            pair.introduce();
-            for (RelayNode *node : { &pair.relay, &pair.leaf })
+            pair.registerBoth();
+            for (RelayNode *node : { &pair.relay, &pair.follower })
                 node->setKey("secret");
-            expectServerNewsExchanged(io, pair, yield);
+            expectServerUpdatesExchanged(io, pair, yield);
         });
     }
 
-    void reserveIsARelayWhileItIsAsked()
+    void reserveActsAsRelayWhileRequestsArrive()
     {
         IoContext io(1);
         runCoroutine(io, [&io](Yield yield) {
             LinkedPair pair(io);
-            // A third daemon is the relay, and nobody is there; the stronger of the pair is
-            // reserve.
-            const RelayCandidate away { DaemonId("away"), ZoneId("z"), { "127.0.0.1", 1 }, 9 };
+            // The relay is a third daemon, which is unreachable. Of the other two, the one with the
+            // larger processor share is the reserve.
+            const RelayCandidate unreachable {
+                DaemonId("unreachable"), ZoneId("z"), { "127.0.0.1", 1 }, 9
+            };
             RelayNodeOptions options = LinkedPair::optionsOf("relay", 1);
             options.choice = { 1, 1, 2 };
             options.self.links.port = LinkedPair::port + 2;
             RelayNode reserve(io, pair.clock, options, pair.log, pair.metrics);
-            RelayNodeOptions follows = LinkedPair::optionsOf("leaf", 0.1);
-            follows.choice = options.choice;
-            follows.self.links.port = LinkedPair::port + 3;
-            RelayNode follower(io, pair.clock, follows, pair.log, pair.metrics);
+            RelayNodeOptions followerOptions = LinkedPair::optionsOf("follower", 0.1);
+            followerOptions.choice = options.choice;
+            followerOptions.self.links.port = LinkedPair::port + 3;
+            RelayNode follower(io, pair.clock, followerOptions, pair.log, pair.metrics);
             for (RelayNode *node : { &reserve, &follower }) {
-                node->setDaemons({ away, options.self, follows.self });
+                node->setDaemons({ unreachable, options.self, followerOptions.self });
                 node->setKey("secret");
             }
             CPPUNIT_ASSERT(!reserve.isRelay());
@@ -264,20 +267,20 @@
             Result<RelayedNews> update = Error(ErrorKind::Unknown, "not asked");
             for (int i = 0; i < 400 && !reserve.isRelay(); ++i) {
                 update = follower.next(Revision(4), Duration::zero(), false, yield);
-                sleepFor(io, std::chrono::milliseconds(5), yield); // For the loop to make the link.
+                sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop open the link.
             }
-            CPPUNIT_ASSERT(reserve.isRelay()); // It was asked.
+            CPPUNIT_ASSERT(reserve.isRelay()); // It has received a request.
             reserve.pictureAdvanced({ Revision(5), true, {} }, pair.clock.now());
-            pair.clock.advance(RelayNodeOptions().shortAvoidance);
+            pair.clock.advance(RelayNodeOptions().noViewBackoff);
             update = follower.next(Revision(5), Duration::zero(), false, yield);
             CPPUNIT_ASSERT(update.ok());
-            pair.clock.advance(RelayNodeOptions().reserveServes);
+            pair.clock.advance(RelayNodeOptions().reserveActiveTime);
             CPPUNIT_ASSERT(!reserve.isRelay());
         });
     }
 
 private:
-    static void expectServerNewsExchanged(IoContext &io, LinkedPair &pair, Yield yield)
+    static void expectServerUpdatesExchanged(IoContext &io, LinkedPair &pair, Yield yield)
     {
         const auto updateOf = [](const char *host) {
             return ServerNews { { { { HostId(host), ZoneId("z") },
@@ -285,22 +288,22 @@
                                     std::chrono::milliseconds(30) } },
                                 { HostId(host) } };
         };
-        ServerNews heardByLeaf;
-        ServerNews heardByRelay;
+        ServerNews receivedByFollower;
+        ServerNews receivedByRelay;
         pair.relay.shareServerNews([&] { return updateOf("of relay"); },
-                                   [&](const auto &update) { heardByRelay = update; });
-        pair.leaf.shareServerNews([&] { return updateOf("of leaf"); },
-                                  [&](const auto &update) { heardByLeaf = update; });
-        for (int i = 0; i < 400 && (heardByLeaf.empty() || heardByRelay.empty()); ++i) {
-            pair.leaf.exchangeLoads();
+                                   [&](const auto &update) { receivedByRelay = update; });
+        pair.follower.shareServerNews([&] { return updateOf("of follower"); },
+                                      [&](const auto &update) { receivedByFollower = update; });
+        for (int i = 0; i < 400 && (receivedByFollower.empty() || receivedByRelay.empty()); ++i) {
+            pair.follower.exchangeLoads();
             pair.relay.exchangeLoads();
-            sleepFor(io, std::chrono::milliseconds(5), yield); // For the loop to carry them.
+            sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop deliver them.
         }
-        CPPUNIT_ASSERT_EQUAL(HostId("of relay"), heardByLeaf.limits.at(0).server.host);
-        CPPUNIT_ASSERT(heardByLeaf.limits.at(0).rate == RequestRate(2));
-        CPPUNIT_ASSERT_EQUAL(HostId("of relay"), heardByLeaf.leaving.at(0));
-        CPPUNIT_ASSERT_EQUAL(HostId("of leaf"), heardByRelay.limits.at(0).server.host);
-        CPPUNIT_ASSERT_EQUAL(HostId("of leaf"), heardByRelay.leaving.at(0));
+        CPPUNIT_ASSERT_EQUAL(HostId("of relay"), receivedByFollower.limits.at(0).server.host);
+        CPPUNIT_ASSERT(receivedByFollower.limits.at(0).rate == RequestRate(2));
+        CPPUNIT_ASSERT_EQUAL(HostId("of relay"), receivedByFollower.leaving.at(0));
+        CPPUNIT_ASSERT_EQUAL(HostId("of follower"), receivedByRelay.limits.at(0).server.host);
+        CPPUNIT_ASSERT_EQUAL(HostId("of follower"), receivedByRelay.leaving.at(0));
     }
 };
 
