--- a/ramphinge/relay/load_aggregator.cpp
+++ b/ramphinge/relay/load_aggregator.cpp
@@ -17,10 +17,10 @@
     void add(const SharedLoad &load)
     {
         for (const PlaceLoad &added : load.places) {
-            PlaceLoad &place = m_places[added.host];
-            place.host = added.host;
-            place.running += added.running;
-            place.waitingPrompt += added.waitingPrompt;
+            PlaceLoad &target = m_targets[added.host];
+            target.host = added.host;
+            target.running += added.running;
+            target.waitingPrompt += added.waitingPrompt;
         }
         for (const auto &[model, added] : load.work)
             m_work[model] += added;
@@ -36,12 +36,12 @@
     void subtract(const SharedLoad &load)
     {
         for (const PlaceLoad &removed : load.places) {
-            const auto place = m_places.find(removed.host);
-            if (place == m_places.end())
+            const auto target = m_targets.find(removed.host);
+            if (target == m_targets.end())
                 continue;
-            place->second.running = std::max(0, place->second.running - removed.running);
-            place->second.waitingPrompt =
-                std::max<std::int64_t>(0, place->second.waitingPrompt - removed.waitingPrompt);
+            target->second.running = std::max(0, target->second.running - removed.running);
+            target->second.waitingPrompt =
+                std::max<std::int64_t>(0, target->second.waitingPrompt - removed.waitingPrompt);
         }
         for (const auto &[model, removed] : load.work) {
             ModelWork &work = m_work[model];
@@ -54,13 +54,13 @@
     SharedLoad result() const
     {
         SharedLoad load { {}, m_work };
-        for (const auto &[host, place] : m_places)
-            load.places.push_back(place);
+        for (const auto &[host, target] : m_targets)
+            load.places.push_back(target);
         return load;
     }
 
 private:
-    std::map<HostId, PlaceLoad> m_places;
+    std::map<HostId, PlaceLoad> m_targets;
     WorkByModel m_work;
 };
 
--- a/ramphinge/relay/relay_test.cpp
+++ b/ramphinge/relay/relay_test.cpp
@@ -1,5 +1,5 @@
-// Tests of passing the store's changes on: the log of changes, the choice of relays, who gets which
-// answer when, what an answer proves, and the sums of loads.
+// Tests of relaying the store's changes: the change log, the choice of relays, the responses of the
+// update feed and their timing, the freshness of a relayed view, and the sums of loads.
 
 #include <map>
 
@@ -15,25 +15,25 @@
 
 namespace {
 
-using Picture = std::map<StoreKey, std::string>;
+using View = std::map<StoreKey, std::string>;
 
-constexpr Duration step = std::chrono::milliseconds(10);
+constexpr Duration simulationStep = std::chrono::milliseconds(10);
 
-void applyTo(Picture &picture, const std::vector<StoreChange> &changes)
+void applyTo(View &view, const std::vector<StoreChange> &changes)
 {
     for (const StoreChange &change : changes) {
         if (change.stored)
-            picture[change.key] = change.stored->value;
+            view[change.key] = change.stored->value;
         else
-            picture.erase(change.key);
+            view.erase(change.key);
     }
 }
 
-// A store whose every state is kept, by revision.
+// A store that records its contents at every revision.
 class RecordedStore
 {
 public:
-    // Puts or erases one of a few keys.
+    // Puts or erases one of six keys.
     StoreChange change(Random &random, MonotonicTime at)
     {
         m_upTo = Revision(m_upTo.count() + 1);
@@ -41,8 +41,8 @@
         StoreChange change { key, std::nullopt };
         if (random.below(3) > 0)
             change.stored = StoredValue { "v" + std::to_string(m_upTo.count()), m_upTo };
-        applyTo(m_present, { change });
-        m_states.push_back(m_present);
+        applyTo(m_current, { change });
+        m_states.push_back(m_current);
         m_times.push_back(at);
         m_changes.push_back(change);
         return change;
@@ -57,39 +57,40 @@
         return batch;
     }
 
-    // The newest revision that was there at `moment`.
+    // The newest revision at `moment`.
     Revision revisionAt(MonotonicTime moment) const
     {
         const auto after = std::upper_bound(m_times.begin(), m_times.end(), moment);
         return Revision(after - m_times.begin());
     }
 
-    Picture stateOf(Revision revision) const
+    View viewAt(Revision revision) const
     {
-        return revision == absentRevision ? Picture() : m_states[revision.count() - 1];
+        return revision == absentRevision ? View() : m_states[revision.count() - 1];
     }
 
     Revision upTo() const { return m_upTo; }
 
 private:
     Revision m_upTo;
-    Picture m_present;
-    std::vector<Picture> m_states; // Of revision i + 1 at index i.
-    std::vector<MonotonicTime> m_times; // Of each change.
+    View m_current;
+    std::vector<View> m_states; // Index i holds the contents at revision i + 1.
+    std::vector<MonotonicTime> m_times; // The time of each change.
     std::vector<StoreChange> m_changes;
 };
 
-// Takes a few changes at a time; false if that doesn't lead on.
-bool applyInParts(Picture &picture, const ChangeLog &log, Revision after)
+// Applies the changes after `after` in small parts; false if a part makes no progress, or the last
+// one doesn't reach the end of the log.
+bool applyInParts(View &view, const ChangeLog &log, Revision after)
 {
     std::size_t maxBytes = 6;
     while (true) {
         const std::optional<LoggedChanges> part = log.changesAfter(after, maxBytes);
-        if (!part) { // What one revision changed is larger.
+        if (!part) { // The changes of one revision exceed maxBytes.
             maxBytes *= 2;
             continue;
         }
-        applyTo(picture, part->changes);
+        applyTo(view, part->changes);
         if (part->isComplete)
             return part->upTo == log.upTo();
         if (part->upTo <= after)
@@ -114,13 +115,16 @@
     return { StoreKey(key), StoredValue { value, Revision(revision) } };
 }
 
-// What a wrong implementation would take for the moment up to which news hold.
-enum class Fault { None, DatedByTheAnswer, DatedByTheEndOfTheWatch };
+// A wrong time that an implementation could take as the one up to which an update holds every
+// change: relative to the arrival of the response, or to the end of the relay's watch.
+enum class Fault { None, AgeFromResponseTime, AgeFromWatchEnd };
 
-// One relay and one daemon that follows it, over a network that delays and loses messages, with
-// pauses of either and a relay that is cut off from the store. Returns what broke the promise that
-// a proof makes: that the picture is as new as the store was at that moment, or newer.
-std::vector<std::string> playHop(std::uint64_t seed, Fault fault, UpdateFeedOptions options = {})
+// Simulates one relay and one follower over a network that delays messages, with pauses of the
+// relay and partitions between relay and store. Returns the violations of the freshness guarantee:
+// at each update the follower's view must be at least as new as the store was at its freshness
+// time.
+std::vector<std::string> simulateRelay(std::uint64_t seed, Fault fault,
+                                       UpdateFeedOptions options = {})
 {
     Random random(seed);
     RecordedStore store;
@@ -128,89 +132,93 @@
     feed.setServing(true);
     MonotonicTime now(std::chrono::seconds(1));
     feed.onListed(Revision(0), now);
-    struct OwnWatch
+    struct RelayWatch
     {
         MonotonicTime startedAt;
         MonotonicTime endsAt;
     };
-    std::optional<OwnWatch> watch;
-    struct Underway
+    std::optional<RelayWatch> watch;
+    struct InFlight
     {
-        MonotonicTime arrives;
+        MonotonicTime arrivesAt;
         StoreUpdateMessage update;
         StoreUpdateRequestMessage request;
-        bool isAnswer;
+        bool isResponse;
     };
-    std::vector<Underway> messages;
+    std::vector<InFlight> messages;
     Revision relayUpTo;
-    Picture leaf;
-    Revision leafUpTo;
+    View followerView;
+    Revision followerUpTo;
     MonotonicTime requestedAt;
-    bool asks = false;
+    bool hasOutstandingRequest = false;
     int id = 0;
-    MonotonicTime relayAwakeAt;
-    MonotonicTime cutUntil;
-    std::vector<std::string> broken;
+    MonotonicTime relayPausedUntil;
+    MonotonicTime partitionedUntil;
+    std::vector<std::string> violations;
     const auto delay = [&random] { return Milliseconds(1 + random.below(120)); };
     for (int i = 0; i < 1500; ++i) {
-        now += step;
+        now += simulationStep;
         if (random.below(12) == 0)
             store.change(random, now);
         if (random.below(300) == 0)
-            relayAwakeAt = now + Milliseconds(random.below(2500));
+            relayPausedUntil = now + Milliseconds(random.below(2500));
         if (random.below(300) == 0)
-            cutUntil = now + Milliseconds(random.below(2500));
-        if (now >= relayAwakeAt) {
-            if (!watch && now >= cutUntil)
-                watch = OwnWatch { now, now + Milliseconds(random.below(700)) };
+            partitionedUntil = now + Milliseconds(random.below(2500));
+        if (now >= relayPausedUntil) {
+            if (!watch && now >= partitionedUntil)
+                watch = RelayWatch { now, now + Milliseconds(random.below(700)) };
             if (watch && now >= watch->endsAt) {
-                // Its content is that of some moment between its start and its end.
+                // A watch returns the store's contents at some time between its start and end.
                 const WatchBatch batch = store.since(relayUpTo);
                 relayUpTo = batch.upTo;
                 feed.onAdvanced(batch,
-                                fault == Fault::DatedByTheEndOfTheWatch ? now + Milliseconds(400)
-                                                                        : watch->startedAt);
+                                fault == Fault::AgeFromWatchEnd ? now + Milliseconds(400)
+                                                                : watch->startedAt);
                 watch.reset();
             }
-            for (const UpdateResponse &answer : feed.takeDue(now))
-                messages.push_back({ now + delay(), answer.update, {}, true });
+            for (const UpdateResponse &response : feed.takeDue(now))
+                messages.push_back({ now + delay(), response.update, {}, true });
         }
-        if (!asks || now - requestedAt > std::chrono::seconds(2)) {
-            asks = true;
+        if (!hasOutstandingRequest || now - requestedAt > std::chrono::seconds(2)) {
+            hasOutstandingRequest = true;
             requestedAt = now;
             messages.push_back({ now + delay(),
                                  {},
-                                 request(++id, static_cast<int>(leafUpTo.count()),
+                                 request(++id, static_cast<int>(followerUpTo.count()),
                                          Milliseconds(random.below(900))),
                                  false });
         }
-        std::vector<Underway> rest;
-        for (Underway &message : messages) {
-            const bool held = !message.isAnswer && now < relayAwakeAt;
-            if (message.arrives > now || held) {
+        std::vector<InFlight> rest;
+        for (InFlight &message : messages) {
+            const bool isHeld = !message.isResponse && now < relayPausedUntil;
+            if (message.arrivesAt > now || isHeld) {
                 rest.push_back(message);
-            } else if (!message.isAnswer) {
-                feed.addRequest(DaemonId("leaf"), message.request, now);
+            } else if (!message.isResponse) {
+                feed.addRequest(DaemonId("follower"), message.request, now);
             } else if (message.update.id == CorrelationId(id)) {
-                asks = false;
+                hasOutstandingRequest = false;
                 if (message.update.verdict != UpdateVerdict::Update)
                     continue;
-                applyTo(leaf, message.update.changes);
-                leafUpTo = std::max(leafUpTo, message.update.upTo);
-                const MonotonicTime base = fault == Fault::DatedByTheAnswer ? now : requestedAt;
-                const MonotonicTime proof = localFreshnessTime(message.update, base, now);
-                const Revision owed = store.revisionAt(proof);
-                if (leafUpTo < owed)
-                    broken.push_back("proved " + std::to_string(owed.count()) + ", has "
-                                     + std::to_string(leafUpTo.count()));
-                const bool isWhole = !message.update.moreFollow; // A part holds keys' newest only.
-                if (isWhole && leaf != store.stateOf(leafUpTo))
-                    broken.push_back("the picture is not that of its revision");
+                applyTo(followerView, message.update.changes);
+                followerUpTo = std::max(followerUpTo, message.update.upTo);
+                const MonotonicTime reference =
+                    fault == Fault::AgeFromResponseTime ? now : requestedAt;
+                const MonotonicTime freshnessTime =
+                    localFreshnessTime(message.update, reference, now);
+                const Revision requiredRevision = store.revisionAt(freshnessTime);
+                if (followerUpTo < requiredRevision)
+                    violations.push_back("needs revision "
+                                         + std::to_string(requiredRevision.count()) + ", has "
+                                         + std::to_string(followerUpTo.count()));
+                const bool isCompleteUpdate =
+                    !message.update.moreFollow; // A part omits superseded changes.
+                if (isCompleteUpdate && followerView != store.viewAt(followerUpTo))
+                    violations.push_back("the view differs from the store at its revision");
             }
         }
         messages = std::move(rest);
     }
-    return broken;
+    return violations;
 }
 
 } // namespace
@@ -218,31 +226,31 @@
 class RelayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayTest);
-    CPPUNIT_TEST(logBringsAnyOldPictureUpToDate);
-    CPPUNIT_TEST(logForgetsTheOldestAndSaysSo);
-    CPPUNIT_TEST(strongestDaemonsOfTheZoneAreItsRelays);
+    CPPUNIT_TEST(logBringsAnyOldViewUpToDate);
+    CPPUNIT_TEST(logDiscardsTheOldestChangesFirst);
+    CPPUNIT_TEST(daemonsWithTheLargestProcessorShareAreRelays);
     CPPUNIT_TEST(smallZonesHaveNoRelays);
     CPPUNIT_TEST(largeZonesHaveMoreRelays);
-    CPPUNIT_TEST(relaysShareTheQuestions);
-    CPPUNIT_TEST(recordsSurviveTheirText);
-    CPPUNIT_TEST(newsAreGivenAtOnceOthersWait);
-    CPPUNIT_TEST(whoeverIsNoUseSaysSoAtOnce);
-    CPPUNIT_TEST(askerWithoutItsStoreWaitsForTheRelays);
-    CPPUNIT_TEST(tooMuchNewsGoByTheStore);
-    CPPUNIT_TEST(newRelayKnowsOnlyWhatCameSince);
-    CPPUNIT_TEST(waitingIsBounded);
-    CPPUNIT_TEST(proofOverAHopIsNeverTooNew);
-    CPPUNIT_TEST(newsInPartsProveNothingTooNew);
-    CPPUNIT_TEST(wrongDatingIsCaught);
-    CPPUNIT_TEST(loadsAreSummedWhileTheyAreFresh);
-    CPPUNIT_TEST(ownLoadIsTakenOutOfTheSum);
+    CPPUNIT_TEST(relaysShareTheRequests);
+    CPPUNIT_TEST(registrationsRoundTrip);
+    CPPUNIT_TEST(requestIsAnsweredOnAChangeOrAtItsDeadline);
+    CPPUNIT_TEST(requestsThatCannotBeServedAreDeclinedAtOnce);
+    CPPUNIT_TEST(followerWithoutStoreWaitsUntilTheRelayReachesIt);
+    CPPUNIT_TEST(oversizedRevisionIsDeclined);
+    CPPUNIT_TEST(newRelayLogsOnlyLaterChanges);
+    CPPUNIT_TEST(pendingRequestsAreBounded);
+    CPPUNIT_TEST(relayedFreshnessIsNeverOverstated);
+    CPPUNIT_TEST(partialUpdatesNeverOverstateFreshness);
+    CPPUNIT_TEST(simulationDetectsOverstatedFreshness);
+    CPPUNIT_TEST(loadsAreSummedUntilTheyExpire);
+    CPPUNIT_TEST(ownLoadIsSubtractedFromTheSum);
     CPPUNIT_TEST(reportsAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void logBringsAnyOldPictureUpToDate()
+    void logBringsAnyOldViewUpToDate()
     {
-        const bool sound = rc::check("changes since any revision lead to the present", [] {
+        const bool holds = rc::check("changes since any revision bring a view up to date", [] {
             Random random(*rc::gen::arbitrary<std::uint64_t>());
             RecordedStore store;
             ChangeLog log({});
@@ -253,19 +261,19 @@
                 log.add(store.since(log.upTo()));
                 for (int after = 0; after <= store.upTo().count(); ++after) {
                     RC_ASSERT(log.reachesBackTo(Revision(after)));
-                    Picture picture = store.stateOf(Revision(after));
-                    applyTo(picture, log.changesAfter(Revision(after), 1 << 20)->changes);
-                    RC_ASSERT(picture == store.stateOf(store.upTo()));
-                    Picture inParts = store.stateOf(Revision(after));
+                    View view = store.viewAt(Revision(after));
+                    applyTo(view, log.changesAfter(Revision(after), 1 << 20)->changes);
+                    RC_ASSERT(view == store.viewAt(store.upTo()));
+                    View inParts = store.viewAt(Revision(after));
                     RC_ASSERT(applyInParts(inParts, log, Revision(after)));
-                    RC_ASSERT(inParts == store.stateOf(store.upTo()));
+                    RC_ASSERT(inParts == store.viewAt(store.upTo()));
                 }
             }
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(holds);
     }
 
-    void logForgetsTheOldestAndSaysSo()
+    void logDiscardsTheOldestChangesFirst()
     {
         ChangeLog log({ 30 });
         log.restart(Revision(10));
@@ -287,7 +295,7 @@
         CPPUNIT_ASSERT(!log.hasChangesAfter(Revision(13)));
     }
 
-    void strongestDaemonsOfTheZoneAreItsRelays()
+    void daemonsWithTheLargestProcessorShareAreRelays()
     {
         std::vector<RelayCandidate> all;
         for (int i = 0; i < 20; ++i)
@@ -301,7 +309,8 @@
         CPPUNIT_ASSERT_EQUAL(DaemonId("stronger"), relays[0].daemon);
         CPPUNIT_ASSERT_EQUAL(DaemonId("strong"), relays[1].daemon);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), chooseRelays(ZoneId("z"), all, {}).reserves.size());
-        std::reverse(all.begin(), all.end()); // Everyone chooses the same, in whatever order.
+        std::reverse(all.begin(),
+                     all.end()); // The choice doesn't depend on the order of the daemons.
         CPPUNIT_ASSERT_EQUAL(DaemonId("stronger"),
                              chooseRelays(ZoneId("z"), all, {}).relays[0].daemon);
     }
@@ -312,7 +321,7 @@
         for (int i = 0; i < 7; ++i)
             all.push_back(daemon("d" + std::to_string(i), "z", 1));
         CPPUNIT_ASSERT(chooseRelays(ZoneId("z"), all, {}).relays.empty());
-        all.push_back(daemon("d7", "z", 1, 0)); // Counts, though it takes no links.
+        all.push_back(daemon("d7", "z", 1, 0)); // Counts, though it accepts no links.
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), chooseRelays(ZoneId("z"), all, {}).relays.size());
     }
 
@@ -322,14 +331,14 @@
         for (int i = 0; i < 100; ++i)
             all.push_back(daemon("d" + std::to_string(i), "z", 1));
         const std::size_t relays = chooseRelays(ZoneId("z"), all, {}).relays.size();
-        const auto most = static_cast<std::size_t>(RelayChoiceOptions().maxDaemonsPerRelay);
-        CPPUNIT_ASSERT(relays * most >= all.size());
-        CPPUNIT_ASSERT((relays - 1) * most < all.size());
+        const auto maxDaemons = static_cast<std::size_t>(RelayChoiceOptions().maxDaemonsPerRelay);
+        CPPUNIT_ASSERT(relays * maxDaemons >= all.size());
+        CPPUNIT_ASSERT((relays - 1) * maxDaemons < all.size());
         all.resize(24);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), chooseRelays(ZoneId("z"), all, {}).relays.size());
     }
 
-    void relaysShareTheQuestions()
+    void relaysShareTheRequests()
     {
         const std::vector<RelayCandidate> relays { daemon("r1", "z", 1), daemon("r2", "z", 1) };
         int first = 0;
@@ -339,7 +348,7 @@
         CPPUNIT_ASSERT(first > 30 && first < 70);
     }
 
-    void recordsSurviveTheirText()
+    void registrationsRoundTrip()
     {
         const RelayCandidate record = daemon("d", "zone-1", 0.12, 7680);
         const RelayCandidate read = parseCandidate(DaemonId("d"), serializeCandidate(record));
@@ -352,25 +361,25 @@
         }
     }
 
-    void newsAreGivenAtOnceOthersWait()
+    void requestIsAnsweredOnAChangeOrAtItsDeadline()
     {
         MonotonicTime now(std::chrono::seconds(50));
         UpdateFeed feed = servingFeed(now);
-        const DaemonId early("early");
-        const DaemonId late("late");
-        feed.addRequest(early, request(1, 10, std::chrono::seconds(1)), now);
+        const DaemonId earlyFollower("early");
+        const DaemonId lateFollower("late");
+        feed.addRequest(earlyFollower, request(1, 10, std::chrono::seconds(1)), now);
         CPPUNIT_ASSERT(feed.takeDue(now).empty());
         CPPUNIT_ASSERT(*feed.nextDeadline() == now + std::chrono::seconds(1));
         now += std::chrono::milliseconds(400);
         feed.onAdvanced({ Revision(12), true, { put("k", "v", 12) } },
                         now - std::chrono::milliseconds(100));
-        const std::vector<UpdateResponse> answers = feed.takeDue(now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), answers.size());
-        CPPUNIT_ASSERT_EQUAL(early, answers[0].to);
-        CPPUNIT_ASSERT(answers[0].update.verdict == UpdateVerdict::Update);
-        CPPUNIT_ASSERT_EQUAL(Revision(12), answers[0].update.upTo);
-        CPPUNIT_ASSERT(answers[0].update.staleness == -std::chrono::milliseconds(300));
-        feed.addRequest(late, request(1, 12, std::chrono::milliseconds(200)), now);
+        const std::vector<UpdateResponse> responses = feed.takeDue(now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), responses.size());
+        CPPUNIT_ASSERT_EQUAL(earlyFollower, responses[0].to);
+        CPPUNIT_ASSERT(responses[0].update.verdict == UpdateVerdict::Update);
+        CPPUNIT_ASSERT_EQUAL(Revision(12), responses[0].update.upTo);
+        CPPUNIT_ASSERT(responses[0].update.staleness == -std::chrono::milliseconds(300));
+        feed.addRequest(lateFollower, request(1, 12, std::chrono::milliseconds(200)), now);
         CPPUNIT_ASSERT(feed.takeDue(now).empty());
         now += std::chrono::milliseconds(200);
         const std::vector<UpdateResponse> none = feed.takeDue(now);
@@ -379,23 +388,23 @@
         CPPUNIT_ASSERT(none[0].update.staleness == std::chrono::milliseconds(100));
     }
 
-    void whoeverIsNoUseSaysSoAtOnce()
+    void requestsThatCannotBeServedAreDeclinedAtOnce()
     {
         const MonotonicTime now(std::chrono::seconds(50));
-        UpdateFeed idle({}, {});
-        idle.onListed(Revision(10), now);
-        CPPUNIT_ASSERT(verdictOf(idle, request(1, 10, std::chrono::seconds(1)), now)
+        UpdateFeed notServing({}, {});
+        notServing.onListed(Revision(10), now);
+        CPPUNIT_ASSERT(verdictOf(notServing, request(1, 10, std::chrono::seconds(1)), now)
                        == UpdateVerdict::NoView);
         UpdateFeed feed = servingFeed(now);
         CPPUNIT_ASSERT(verdictOf(feed, request(1, 9, std::chrono::seconds(1)), now)
                        == UpdateVerdict::TooOld);
         feed.addRequest(DaemonId("waits"), request(1, 10, std::chrono::seconds(1)), now);
         CPPUNIT_ASSERT(feed.takeDue(now).empty());
-        feed.onStoreLost(); // Those that wait learn of it too.
+        feed.onStoreLost(); // Also declines pending requests.
         CPPUNIT_ASSERT(feed.takeDue(now).at(0).update.verdict == UpdateVerdict::StoreLost);
     }
 
-    void askerWithoutItsStoreWaitsForTheRelays()
+    void followerWithoutStoreWaitsUntilTheRelayReachesIt()
     {
         MonotonicTime now(std::chrono::seconds(50));
         UpdateFeed feed = servingFeed(now);
@@ -404,8 +413,8 @@
         CPPUNIT_ASSERT(feed.takeDue(now).empty());
         now += std::chrono::milliseconds(300);
         feed.onAdvanced({ Revision(10), true, {} }, now);
-        const std::vector<UpdateResponse> answers = feed.takeDue(now);
-        CPPUNIT_ASSERT(answers.at(0).update.verdict
+        const std::vector<UpdateResponse> responses = feed.takeDue(now);
+        CPPUNIT_ASSERT(responses.at(0).update.verdict
                        == UpdateVerdict::Update); // Though nothing changed.
         feed.onStoreLost();
         feed.addRequest(DaemonId("d"), request(2, 10, std::chrono::seconds(1), true), now);
@@ -413,7 +422,7 @@
                        == UpdateVerdict::StoreLost);
     }
 
-    void tooMuchNewsGoByTheStore()
+    void oversizedRevisionIsDeclined()
     {
         const MonotonicTime now(std::chrono::seconds(50));
         UpdateFeed feed = servingFeed(now);
@@ -423,7 +432,7 @@
                        == UpdateVerdict::TooLarge);
     }
 
-    void newRelayKnowsOnlyWhatCameSince()
+    void newRelayLogsOnlyLaterChanges()
     {
         const MonotonicTime now(std::chrono::seconds(50));
         UpdateFeed feed({}, {});
@@ -439,7 +448,7 @@
                        == UpdateVerdict::Update);
     }
 
-    void waitingIsBounded()
+    void pendingRequestsAreBounded()
     {
         const MonotonicTime now(std::chrono::seconds(50));
         UpdateFeedOptions options;
@@ -451,78 +460,79 @@
             feed.addRequest(DaemonId("d" + std::to_string(i)),
                             request(i, 10, std::chrono::hours(9)), now);
         feed.addRequest(DaemonId("d0"), request(77, 10, std::chrono::hours(9)), now);
-        const std::vector<UpdateResponse> answers = feed.takeDue(now + options.maxWait);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), answers.size());
-        CPPUNIT_ASSERT_EQUAL(CorrelationId(77), answers.back().update.id); // The later question.
+        const std::vector<UpdateResponse> responses = feed.takeDue(now + options.maxWait);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), responses.size());
+        CPPUNIT_ASSERT_EQUAL(CorrelationId(77), responses.back().update.id); // The later request.
     }
 
-    void proofOverAHopIsNeverTooNew()
+    void relayedFreshnessIsNeverOverstated()
     {
-        const bool sound = rc::check("a proof over a hop is never too new", [] {
+        const bool holds = rc::check("a relayed view is as fresh as stated", [] {
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-            const std::vector<std::string> broken = playHop(seed, Fault::None);
-            if (!broken.empty())
-                RC_FAIL(broken.front());
+            const std::vector<std::string> violations = simulateRelay(seed, Fault::None);
+            if (!violations.empty())
+                RC_FAIL(violations.front());
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(holds);
     }
 
-    void newsInPartsProveNothingTooNew()
+    void partialUpdatesNeverOverstateFreshness()
     {
-        const bool sound = rc::check("news that are cut short prove nothing too new", [] {
+        const bool holds = rc::check("a view from partial updates is as fresh as stated", [] {
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
             UpdateFeedOptions options;
             options.maxBytes = 8; // Two or three changes.
-            const std::vector<std::string> broken = playHop(seed, Fault::None, options);
-            if (!broken.empty())
-                RC_FAIL(broken.front());
+            const std::vector<std::string> violations = simulateRelay(seed, Fault::None, options);
+            if (!violations.empty())
+                RC_FAIL(violations.front());
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(holds);
     }
 
-    // The model notices implementations that date a proof too late.
-    void wrongDatingIsCaught()
+    // Checks that the simulation detects implementations that state a freshness time too late.
+    void simulationDetectsOverstatedFreshness()
     {
-        for (const Fault fault : { Fault::DatedByTheAnswer, Fault::DatedByTheEndOfTheWatch }) {
+        for (const Fault fault : { Fault::AgeFromResponseTime, Fault::AgeFromWatchEnd }) {
             int caught = 0;
             for (std::uint64_t seed = 1; seed <= 20; ++seed)
-                caught += playHop(seed, fault).empty() ? 0 : 1;
+                caught += simulateRelay(seed, fault).empty() ? 0 : 1;
             CPPUNIT_ASSERT(caught >= 15);
         }
     }
 
-    void loadsAreSummedWhileTheyAreFresh()
+    void loadsAreSummedUntilTheyExpire()
     {
         const MonotonicTime now(std::chrono::seconds(50));
         const LoadAggregatorOptions options;
         const HostId host("h");
         const ModelId chat("chat");
-        LoadAggregator board(options);
-        board.setFollowerLoad(DaemonId("f1"), { { { host, 2, 100 } }, { { chat, { 100, 4 } } } },
-                              now);
-        board.setFollowerLoad(DaemonId("f1"), { { { host, 3, 200 } }, { { chat, { 50, 2 } } } },
-                              now);
-        board.setFollowerLoad(
+        LoadAggregator aggregator(options);
+        aggregator.setFollowerLoad(DaemonId("f1"),
+                                   { { { host, 2, 100 } }, { { chat, { 100, 4 } } } }, now);
+        aggregator.setFollowerLoad(DaemonId("f1"),
+                                   { { { host, 3, 200 } }, { { chat, { 50, 2 } } } }, now);
+        aggregator.setFollowerLoad(
             DaemonId("f2"), { { { host, 1, 0 }, { HostId("i"), 4, 50 } }, { { chat, { 7, 1 } } } },
             now);
-        board.setRelayLoad(DaemonId("r"), { { { host, 10, 1000 } }, { { chat, { 1000, 9 } } } },
-                           now);
+        aggregator.setRelayLoad(DaemonId("r"),
+                                { { { host, 10, 1000 } }, { { chat, { 1000, 9 } } } }, now);
         const SharedLoad own { { { host, 1, 10 } }, { { chat, { 3, 1 } } } };
-        const PlaceLoads group = board.groupSum(own, now).places;
+        const PlaceLoads group = aggregator.groupSum(own, now).places;
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), group.size());
         CPPUNIT_ASSERT_EQUAL(5, group[0].running);
         CPPUNIT_ASSERT_EQUAL(std::int64_t(210), group[0].waitingPrompt);
-        CPPUNIT_ASSERT_EQUAL(15, board.totalSum(own, now).places[0].running);
-        CPPUNIT_ASSERT_EQUAL(60.0, board.groupSum(own, now).work.at(chat).serverMilliseconds);
-        CPPUNIT_ASSERT_EQUAL(1060.0, board.totalSum(own, now).work.at(chat).serverMilliseconds);
-        CPPUNIT_ASSERT_EQUAL(13.0, board.totalSum(own, now).work.at(chat).requests);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), board.followers(now).size());
+        CPPUNIT_ASSERT_EQUAL(15, aggregator.totalSum(own, now).places[0].running);
+        CPPUNIT_ASSERT_EQUAL(60.0, aggregator.groupSum(own, now).work.at(chat).serverMilliseconds);
+        CPPUNIT_ASSERT_EQUAL(1060.0,
+                             aggregator.totalSum(own, now).work.at(chat).serverMilliseconds);
+        CPPUNIT_ASSERT_EQUAL(13.0, aggregator.totalSum(own, now).work.at(chat).requests);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), aggregator.followers(now).size());
         const MonotonicTime later = now + options.reportLifetime + std::chrono::milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(1, board.totalSum(own, later).places[0].running);
-        CPPUNIT_ASSERT(board.followers(later).empty());
+        CPPUNIT_ASSERT_EQUAL(1, aggregator.totalSum(own, later).places[0].running);
+        CPPUNIT_ASSERT(aggregator.followers(later).empty());
     }
 
-    void ownLoadIsTakenOutOfTheSum()
+    void ownLoadIsSubtractedFromTheSum()
     {
         const ModelId chat("chat");
         const SharedLoad total { { { HostId("h"), 5, 300 }, { HostId("i"), 1, 0 } },
@@ -544,17 +554,17 @@
         const MonotonicTime now(std::chrono::seconds(50));
         LoadAggregatorOptions options;
         options.maxReports = 2;
-        LoadAggregator board(options);
+        LoadAggregator aggregator(options);
         for (const char *name : { "a", "b", "c" })
-            board.setFollowerLoad(DaemonId(name), {}, now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), board.followers(now).size());
+            aggregator.setFollowerLoad(DaemonId(name), {}, now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), aggregator.followers(now).size());
         const MonotonicTime later = now + 2 * options.reportLifetime;
-        board.setFollowerLoad(DaemonId("c"), {}, later); // The old ones make room.
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), board.followers(later).size());
+        aggregator.setFollowerLoad(DaemonId("c"), {}, later); // Expired reports make room.
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), aggregator.followers(later).size());
     }
 
 private:
-    // A relay whose picture begins at revision 10.
+    // The feed of a relay whose view begins at revision 10.
     static UpdateFeed servingFeed(MonotonicTime now)
     {
         UpdateFeed feed({}, {});
