--- a/ramphinge/peers/message.cpp
+++ b/ramphinge/peers/message.cpp
@@ -681,7 +681,7 @@
 Result<PeerMessage> decodeAs(const std::string &name, const Json &json, MonotonicTime now)
 {
     if constexpr (Index == std::variant_size_v<PeerMessage>) {
-        return Error(ErrorKind::NotFound, "unknown message type " + name);
+        return Error(ErrorKind::NotFound, "message type " + name + " is unknown to this version");
     } else {
         std::variant_alternative_t<Index, PeerMessage> message;
         if (name != nameOf(message))
--- a/ramphinge/peers/message.h
+++ b/ramphinge/peers/message.h
@@ -64,12 +64,13 @@
     ClaimAnswer answer;
 };
 
+// The outcome of a granted claim, for the owner of its slot.
 struct SettleMessage
 {
     SlotId slot;
     ClaimAttempt attempt;
     ClaimOutcome outcome = ClaimOutcome::MayHaveRun;
-    std::optional<KeptAnswer> answer;
+    std::optional<KeptAnswer> answer; // Returned to later attempts with the same key.
 };
 
 // A slot's claim records, from an owner that is stopping to its successor. The sender grants no
@@ -77,7 +78,7 @@
 struct HandoverMessage
 {
     SlotId slot;
-    std::int64_t reign = 0; // Of the sender.
+    std::int64_t reign = 0; // How many owners the slot has had, the sender included.
     WallTime vouchesSince;
     std::vector<ClaimRecord> records;
     bool isCopy = false; // The sender remains the owner; each grant follows as a CopyGrantMessage.
@@ -112,17 +113,17 @@
     std::string message; // The reason if it does not accept.
 };
 
-// The sender serves this version.
+// The sender serves with this version of the configuration.
 struct InForceMessage
 {
     std::int64_t version = 0;
 };
 
+// Asks the receiver for its ConfigMessage.
 struct ConfigQueryMessage
 {
 };
 
-// Asks the receiver for its ConfigMessage.
 // Complete configurations in their stored form.
 struct ConfigMessage
 {
--- a/ramphinge/peers/peers_test.cpp
+++ b/ramphinge/peers/peers_test.cpp
@@ -241,10 +241,10 @@
             stream.binary(true);
             for (const std::string &text : payloads)
                 stream.async_write(boost::asio::buffer(text), yield);
-            boost::beast::flat_buffer buffer;
+            boost::beast::flat_buffer readBuffer;
             boost::system::error_code ec;
             while (!ec)
-                stream.async_read(buffer, yield[ec]);
+                stream.async_read(readBuffer, yield[ec]);
         });
         for (int i = 0; i < 5000 && network.value()->traffic().refused == 0; ++i)
             io.run_one_for(std::chrono::seconds(2));
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -87,7 +87,7 @@
     options.self = m_options.self.daemon;
     options.listen = m_options.self.links;
     options.sharedKey = m_key;
-    options.maxQueuedBytes = m_options.maxQueuedBytes;
+    options.maxQueuedBytes = m_options.maxLinkQueueBytes;
     auto network = PeerNetwork::listen(m_io, options, *this);
     if (!network.ok()) {
         m_log.write("no_links", LogWeight::Failure, { { "why", network.error().message() } });
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -50,7 +50,7 @@
     // Send queue for one follower; if it grows beyond, the link is closed. Holds two of the largest
     // responses: thirty followers that read nothing then take 30 MB of the 160 MB that the smallest
     // machines have.
-    std::size_t maxQueuedBytes = 1024 * 1024;
+    std::size_t maxLinkQueueBytes = 1024 * 1024;
     LoadAggregatorOptions loads;
     // Time between two load reports. A replica gets two or three requests in that time, and runs
     // fourteen at once.
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -250,29 +250,30 @@
             options.choice = { 1, 1, 2 };
             options.self.links.port = LinkedPair::port + 2;
             RelayNode reserve(io, pair.clock, options, pair.log, pair.metrics);
-            RelayNodeOptions followerOptions = LinkedPair::optionsOf("follower", 0.1);
-            followerOptions.choice = options.choice;
-            followerOptions.self.links.port = LinkedPair::port + 3;
-            RelayNode follower(io, pair.clock, followerOptions, pair.log, pair.metrics);
-            for (RelayNode *node : { &reserve, &follower }) {
-                node->setDaemons({ unreachable, options.self, followerOptions.self });
+            RelayNodeOptions reserveFollowerOptions = LinkedPair::optionsOf("follower", 0.1);
+            reserveFollowerOptions.choice = options.choice;
+            reserveFollowerOptions.self.links.port = LinkedPair::port + 3;
+            RelayNode reserveFollower(io, pair.clock, reserveFollowerOptions, pair.log,
+                                      pair.metrics);
+            for (RelayNode *node : { &reserve, &reserveFollower }) {
+                node->setDaemons({ unreachable, options.self, reserveFollowerOptions.self });
                 node->setKey("secret");
             }
             CPPUNIT_ASSERT(!reserve.isRelay());
             reserve.pictureListed(Revision(4), pair.clock.now());
             spawnCoroutine(io, [&reserve](Yield inner) { reserve.run(inner); });
-            CPPUNIT_ASSERT(!follower.next(Revision(4), Duration::zero(), false, yield).ok());
+            CPPUNIT_ASSERT(!reserveFollower.next(Revision(4), Duration::zero(), false, yield).ok());
             pair.clock.advance(std::chrono::seconds(1));
-            CPPUNIT_ASSERT(!follower.next(Revision(4), Duration::zero(), false, yield).ok());
+            CPPUNIT_ASSERT(!reserveFollower.next(Revision(4), Duration::zero(), false, yield).ok());
             Result<RelayedNews> update = Error(ErrorKind::Unknown, "not asked");
             for (int i = 0; i < 400 && !reserve.isRelay(); ++i) {
-                update = follower.next(Revision(4), Duration::zero(), false, yield);
+                update = reserveFollower.next(Revision(4), Duration::zero(), false, yield);
                 sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop open the link.
             }
             CPPUNIT_ASSERT(reserve.isRelay()); // It has received a request.
             reserve.pictureAdvanced({ Revision(5), true, {} }, pair.clock.now());
             pair.clock.advance(RelayNodeOptions().noViewBackoff);
-            update = follower.next(Revision(5), Duration::zero(), false, yield);
+            update = reserveFollower.next(Revision(5), Duration::zero(), false, yield);
             CPPUNIT_ASSERT(update.ok());
             pair.clock.advance(RelayNodeOptions().reserveActiveTime);
             CPPUNIT_ASSERT(!reserve.isRelay());
