--- a/ramphinge/relay/change_log.cpp
+++ b/ramphinge/relay/change_log.cpp
@@ -34,8 +34,8 @@
         const auto existing = m_changes.find(change.key);
         if (existing != m_changes.end())
             discard(existing->second.at, change.key);
-        // The batch doesn't carry the revision of a deletion. Its end revision is used: every
-        // daemon with an older view gets the deletion, at worst twice.
+        // A batch doesn't carry the revision of a deletion. The batch's end revision is used, so
+        // that every daemon with an older view gets the deletion, at worst twice.
         Change newest { change.stored ? change.stored->revision : batch.upTo, change.stored };
         const std::size_t size = sizeOf(change.key, newest);
         m_sizeByRevision[{ newest.at, change.key }] = size;
