--- a/ramphinge/limits/cost_estimate.h
+++ b/ramphinge/limits/cost_estimate.h
@@ -1,5 +1,5 @@
-// What a request will cost, before it has run: its prompt plus what its account's answers have
-// lately been, never more than it asked for.
+// Estimates a request's cost in tokens before it runs: the prompt plus a moving average of the
+// account's recent answer lengths, capped at the answer length that the request allows.
 
 #pragma once
 
@@ -16,8 +16,9 @@
 public:
     Tokens estimate(const AccountId &account, Tokens prompt, Tokens maxAnswer) const
     {
-        const auto found = m_answers.find(account);
-        const double expected = found == m_answers.end() ? initialAnswer : found->second;
+        const auto found = m_averageAnswerTokens.find(account);
+        const double expected =
+            found == m_averageAnswerTokens.end() ? initialAnswerTokens : found->second;
         const auto bounded =
             std::min(static_cast<double>(maxAnswer.count()), std::max(1.0, expected));
         return prompt + Tokens(static_cast<std::int64_t>(bounded));
@@ -25,15 +26,17 @@
 
     void observe(const AccountId &account, Tokens answer)
     {
-        const auto [it, isNew] = m_answers.emplace(account, static_cast<double>(answer.count()));
+        const auto [it, isNew] =
+            m_averageAnswerTokens.emplace(account, static_cast<double>(answer.count()));
         if (!isNew)
-            it->second += smoothing * (static_cast<double>(answer.count()) - it->second);
+            it->second += smoothingFactor * (static_cast<double>(answer.count()) - it->second);
     }
 
 private:
-    static constexpr double initialAnswer = 128;
-    static constexpr double smoothing = 0.1;
-    std::map<AccountId, double> m_answers; // Smoothed length of the account's answers.
+    static constexpr double initialAnswerTokens = 128; // For accounts without an observed answer.
+    static constexpr double smoothingFactor = 0.1; // Weight of the newest answer.
+    std::map<AccountId, double>
+        m_averageAnswerTokens; // Exponential moving average of answer lengths, in tokens.
 };
 
 } // namespace ramphinge
