--- a/ramphinge/limits/retry_budget.h
+++ b/ramphinge/limits/retry_budget.h
@@ -1,4 +1,4 @@
-// A bound on retries: a share of the requests, so that a fault can't multiply the load.
+// Bounds retries to a fraction of the requests, so that a fault can't multiply the load.
 
 #pragma once
 
@@ -8,32 +8,37 @@
 
 struct RetryBudgetOptions
 {
-    double share = 0.1; // Retries per request.
-    double reserve = 10; // Retries that a quiet daemon may make, and the most it can save up.
+    double retriesPerRequest = 0.1; // Retries earned per request.
+    double maxSavedRetries = 10; // Retries available at the start, and the most that accumulate.
 };
 
 // Not thread-safe.
 class RetryBudget
 {
 public:
-    explicit RetryBudget(RetryBudgetOptions options) : m_options(options), m_tokens(options.reserve)
+    explicit RetryBudget(RetryBudgetOptions options)
+        : m_options(options), m_available(options.maxSavedRetries)
     { }
 
-    // A first attempt was made: earns a part of a retry.
-    void onRequest() { m_tokens = std::min(m_options.reserve, m_tokens + m_options.share); }
+    // Records a first attempt, which adds `retriesPerRequest` to the budget.
+    void onRequest()
+    {
+        m_available =
+            std::min(m_options.maxSavedRetries, m_available + m_options.retriesPerRequest);
+    }
 
-    // True if one more retry may be made; takes it from the budget.
+    // Takes one retry from the budget; false if less than one is left.
     bool take()
     {
-        if (m_tokens < 1)
+        if (m_available < 1)
             return false;
-        m_tokens -= 1;
+        m_available -= 1;
         return true;
     }
 
 private:
     RetryBudgetOptions m_options;
-    double m_tokens; // Invariant: in [0, reserve].
+    double m_available; // Invariant: in [0, reserve].
 };
 
 } // namespace ramphinge
--- a/ramphinge/limits/shared_retry_budget.cpp
+++ b/ramphinge/limits/shared_retry_budget.cpp
@@ -1,4 +1,4 @@
-// The bound on repeats over all daemons: see shared_retry_budget.h.
+// The bound on retries over all daemons: see shared_retry_budget.h.
 
 #include "ramphinge/limits/shared_retry_budget.h"
 
@@ -23,9 +23,9 @@
 
 void SharedRetryBudget::forgetOld(MonotonicTime now)
 {
-    const Duration requestWindow = scaled(m_options.window, requestWindowShare);
+    const Duration requestWindow = scaled(m_options.window, requestWindowFraction);
     dropBefore(m_requests, now - requestWindow);
-    dropBefore(m_repeats, now - m_options.window);
+    dropBefore(m_retries, now - m_options.window);
 }
 
 void SharedRetryBudget::onRequest(MonotonicTime now)
@@ -37,17 +37,17 @@
 bool SharedRetryBudget::allows(MonotonicTime now)
 {
     forgetOld(now);
-    const bool settled = now - m_startedAt >= m_options.window;
-    const double slack = settled ? usedShare * m_options.slack / m_daemons : 0;
+    const bool hasRunForWindow = now - m_startedAt >= m_options.window;
+    const double slack = hasRunForWindow ? usedSlackFraction * m_options.slack / m_daemons : 0;
     const double allowed = m_options.ratio * static_cast<double>(m_requests.size()) + slack;
-    return static_cast<double>(m_repeats.size()) + 1 <= allowed;
+    return static_cast<double>(m_retries.size()) + 1 <= allowed;
 }
 
 bool SharedRetryBudget::take(MonotonicTime now)
 {
     if (!allows(now))
         return false;
-    m_repeats.push_back(now);
+    m_retries.push_back(now);
     return true;
 }
 
--- a/ramphinge/limits/shared_retry_budget.h
+++ b/ramphinge/limits/shared_retry_budget.h
@@ -1,10 +1,10 @@
-// One daemon's part of a bound on repeats that holds over all daemons, kept without messages.
+// One daemon's part of a bound on retries over all daemons, enforced without coordination.
 //
-// The bound: in any window, repeats <= ratio x requests + slack, over all daemons. If each daemon
-// keeps repeats <= ratio x its own requests + its part of the slack, the sum keeps it too. The part
-// is less than slack / daemons, since a daemon that restarts forgets what it has used, and it is
-// used only once the daemon has run for a window. How many daemons there are is known from
-// registrations, which lapse when the store is away: so the number never falls here.
+// The bound: in any window, retries <= ratio x requests + slack, summed over all daemons. It holds
+// if each daemon keeps retries <= ratio x its own requests + its part of the slack. That part is
+// less than slack / daemons, since a daemon that restarts loses the record of what it used, and it
+// is available only after the daemon has run for one window. The number of daemons comes from
+// registrations, which lapse while the store is unavailable, so it never decreases here.
 //
 //   budget.onRequest(now);
 //   if (failed && budget.take(now)) sendAgain();
@@ -19,8 +19,8 @@
 
 struct SharedRetryBudgetOptions
 {
-    double ratio = 0.2; // Repeats for each request.
-    double slack = 10; // Repeats beyond that, over all daemons.
+    double ratio = 0.2; // Retries per request.
+    double slack = 10; // Additional retries per window, over all daemons.
     Duration window = std::chrono::seconds(10);
 };
 
@@ -32,34 +32,35 @@
         : m_options(options), m_startedAt(startedAt)
     { }
 
-    // What was used before counts on, as far as it was still in the window.
+    // Retries already counted still count if they are within the current window.
     void setOptions(const SharedRetryBudgetOptions &options) { m_options = options; }
 
-    // How many daemons are known to share the slack. Fewer than before change nothing.
+    // Sets the number of daemons that share the slack. A lower number than before has no effect.
     void setDaemons(int daemons);
 
     void onRequest(MonotonicTime now);
 
-    // Whether one more repeat may be sent now.
+    // Whether one more retry may be sent now.
     bool allows(MonotonicTime now);
 
-    // True if one more repeat may be sent; counts it.
+    // Counts one more retry if the budget allows it; false if it doesn't.
     bool take(MonotonicTime now);
 
 private:
-    // Part of the daemon's even share of the slack that it uses. The rest covers what daemons
-    // that restarted within the window had used before.
-    static constexpr double usedShare = 0.5;
-    // Requests count a little shorter than repeats, so that every window holds the bound.
-    static constexpr double requestWindowShare = 0.9;
+    // Fraction of slack / daemons that a daemon uses. The rest covers retries that restarted
+    // daemons sent earlier in the window.
+    static constexpr double usedSlackFraction = 0.5;
+    // Requests are counted over a shorter window than retries, so that the bound holds in every
+    // window.
+    static constexpr double requestWindowFraction = 0.9;
 
     void forgetOld(MonotonicTime now);
 
     SharedRetryBudgetOptions m_options;
     MonotonicTime m_startedAt;
-    int m_daemons = 1; // The most that were ever known.
+    int m_daemons = 1; // Highest number seen.
     std::deque<MonotonicTime> m_requests; // Ascending, within the window.
-    std::deque<MonotonicTime> m_repeats;
+    std::deque<MonotonicTime> m_retries;
 };
 
 } // namespace ramphinge
