--- a/ramphinge/limits/return_schedule.cpp
+++ b/ramphinge/limits/return_schedule.cpp
@@ -1,4 +1,4 @@
-// Times of return: see return_schedule.h.
+// Retry-After delays: see return_schedule.h.
 
 #include "ramphinge/limits/return_schedule.h"
 
@@ -9,12 +9,12 @@
 Duration ReturnSchedule::next(RequestRate rate, MonotonicTime now)
 {
     const double seconds =
-        rate.perSecond() > 0 ? 1 / rate.perSecond() : toMilliseconds(m_options.longest) / 1000;
-    const Duration gap = std::min(m_options.longest, scaled(std::chrono::seconds(1), seconds));
-    const MonotonicTime earliest = now + m_options.shortest;
-    const MonotonicTime latest = now + m_options.longest;
-    m_last = std::clamp(m_last + gap, earliest, latest);
-    return m_last - now;
+        rate.perSecond() > 0 ? 1 / rate.perSecond() : toMilliseconds(m_options.maxDelay) / 1000;
+    const Duration gap = std::min(m_options.maxDelay, scaled(std::chrono::seconds(1), seconds));
+    const MonotonicTime earliest = now + m_options.minDelay;
+    const MonotonicTime latest = now + m_options.maxDelay;
+    m_lastRetryAt = std::clamp(m_lastRetryAt + gap, earliest, latest);
+    return m_lastRetryAt - now;
 }
 
 } // namespace ramphinge
--- a/ramphinge/limits/return_schedule.h
+++ b/ramphinge/limits/return_schedule.h
@@ -1,5 +1,5 @@
-// Times at which refused callers should come back, spread so that no more of them return in a
-// second than can be served.
+// Computes Retry-After delays for refused callers, spaced so that they don't retry at a higher rate
+// than can be served.
 //
 //   ReturnSchedule schedule(options);
 //   const Duration retryAfter = schedule.next(rate, now);
@@ -15,8 +15,8 @@
 
 struct ReturnScheduleOptions
 {
-    Duration shortest = std::chrono::milliseconds(250);
-    Duration longest = std::chrono::seconds(5);
+    Duration minDelay = std::chrono::milliseconds(250);
+    Duration maxDelay = std::chrono::seconds(5);
 };
 
 // Not thread-safe.
@@ -25,13 +25,13 @@
 public:
     explicit ReturnSchedule(ReturnScheduleOptions options = {}) : m_options(options) { }
 
-    // When the next caller should come back, where `rate` of those that this daemon refuses can be
-    // served.
+    // Delay after which the next refused caller should retry. `rate` is the rate at which retries
+    // of callers that this daemon refuses can be served.
     Duration next(RequestRate rate, MonotonicTime now);
 
 private:
     ReturnScheduleOptions m_options;
-    MonotonicTime m_last; // The latest return that was given out.
+    MonotonicTime m_lastRetryAt; // Latest retry time handed out.
 };
 
 } // namespace ramphinge
--- a/ramphinge/limits/server_limits_test.cpp
+++ b/ramphinge/limits/server_limits_test.cpp
@@ -443,13 +443,13 @@
         ManualClock clock;
         ReturnSchedule schedule;
         const Duration first = schedule.next(RequestRate(2), clock.now());
-        CPPUNIT_ASSERT(first >= ReturnScheduleOptions().shortest);
+        CPPUNIT_ASSERT(first >= ReturnScheduleOptions().minDelay);
         const Duration second = schedule.next(RequestRate(2), clock.now());
         CPPUNIT_ASSERT_EQUAL(Duration(std::chrono::milliseconds(500)).count(),
                              (second - first).count());
         for (int more = 0; more < 100; ++more)
             CPPUNIT_ASSERT(schedule.next(RequestRate(0), clock.now())
-                           <= ReturnScheduleOptions().longest);
+                           <= ReturnScheduleOptions().maxDelay);
     }
 
 private:
