--- a/ramphinge/limits/server_backoffs.cpp
+++ b/ramphinge/limits/server_backoffs.cpp
@@ -1,4 +1,4 @@
-// Servers that asked for nothing: see server_backoffs.h.
+// Backoffs that servers asked for: see server_backoffs.h.
 
 #include "ramphinge/limits/server_backoffs.h"
 
@@ -31,11 +31,11 @@
     m_daemons = std::max<std::size_t>(1, daemons);
 }
 
-// The same at each return to the server, and another one for each daemon and server.
-Duration ServerBackoffs::returnDelay(const HostId &host) const
+// A hash of daemon and server: constant for each pair, and spread over the daemons of a server.
+Duration ServerBackoffs::resumeDelay(const HostId &host) const
 {
     const Duration spread = std::min(
-        m_options.longestSpread, m_options.returnSpacing * static_cast<std::int64_t>(m_daemons));
+        m_options.maxSpread, m_options.resumeSpacing * static_cast<std::int64_t>(m_daemons));
     const std::uint64_t score = rendezvousScore(stableHash(host.text()), m_self.text());
     return scaled(spread, std::ldexp(static_cast<double>(score), -64));
 }
@@ -43,14 +43,14 @@
 BackoffChange ServerBackoffs::noteRefusal(const HostId &host, Duration backoff, MonotonicTime now)
 {
     const auto known = m_backoffs.find(host);
-    if (known == m_backoffs.end() && m_backoffs.size() >= m_options.mostServers)
+    if (known == m_backoffs.end() && m_backoffs.size() >= m_options.maxServers)
         return BackoffChange::None;
     const MonotonicTime until = now + backoff;
     if (known != m_backoffs.end() && until <= known->second.until)
         return BackoffChange::None;
-    const bool lasts = isBackingOff(host, now);
-    m_backoffs[host] = { until, until + returnDelay(host), {}, {} };
-    return lasts ? BackoffChange::Extended : BackoffChange::Asked;
+    const bool isOngoing = isBackingOff(host, now);
+    m_backoffs[host] = { until, until + resumeDelay(host), {}, {} };
+    return isOngoing ? BackoffChange::Extended : BackoffChange::Asked;
 }
 
 BackoffChange ServerBackoffs::noteAnswer(const HostId &host, MonotonicTime sentAt)
@@ -74,37 +74,38 @@
     if (known == m_backoffs.end())
         return true;
     const Backoff &backoff = known->second;
-    const bool isTried = backoff.trialAt && now - *backoff.trialAt < m_options.trialTimeout;
-    return now >= backoff.returnAt && !isTried;
+    const bool isProbePending =
+        backoff.lastSentAt && now - *backoff.lastSentAt < m_options.probeTimeout;
+    return now >= backoff.resumeAt && !isProbePending;
 }
 
 std::optional<MonotonicTime> ServerBackoffs::returnsAt(const HostId &host, MonotonicTime now) const
 {
     const auto known = m_backoffs.find(host);
-    if (known == m_backoffs.end() || now >= known->second.returnAt)
+    if (known == m_backoffs.end() || now >= known->second.resumeAt)
         return std::nullopt;
-    return known->second.returnAt;
+    return known->second.resumeAt;
 }
 
 void ServerBackoffs::take(const HostId &host, MonotonicTime now)
 {
     const auto known = m_backoffs.find(host);
     if (known != m_backoffs.end())
-        known->second.trialAt = now;
+        known->second.lastSentAt = now;
 }
 
 void ServerBackoffs::forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now)
 {
     eraseIf(m_backoffs, [&](auto &entry) {
         Backoff &backoff = entry.second;
-        if (now - backoff.returnAt > m_options.endedMemory)
+        if (now - backoff.resumeAt > m_options.endedRetention)
             return true;
         if (exists(entry.first)) {
             backoff.missingSince.reset();
             return false;
         }
         backoff.missingSince = backoff.missingSince.value_or(now);
-        return now - *backoff.missingSince > m_options.goneMemory;
+        return now - *backoff.missingSince > m_options.goneRetention;
     });
 }
 
--- a/ramphinge/limits/server_backoffs.h
+++ b/ramphinge/limits/server_backoffs.h
@@ -1,9 +1,9 @@
-// Keeps the times for which servers have asked this daemon to send them nothing.
+// Tracks the backoff periods in which servers asked this daemon to send them nothing.
 //
-// A server gets nothing until the end of the longest time that it has asked for. The daemons that
-// it turned away together would come back together, so each returns a little later, by its own
-// delay: the more daemons there are, the wider they are spread. Then one request is sent as a
-// trial, and the next ones only once it has been answered.
+// A server gets nothing until the end of the latest backoff that it has asked for. Daemons that it
+// refused at the same time would all resume at that end, so each adds its own delay, drawn from a
+// range that grows with the number of daemons. Then one request is sent as a probe, and more only
+// after it has been answered or has timed out.
 //
 //   backoffs.noteRefusal(host, backoff, now);
 //   if (backoffs.admits(host, now)) {
@@ -32,21 +32,23 @@
 struct ServerBackoffState
 {
     HostId host;
-    Duration left {}; // Of the time that it asked for; zero while it is being tried again.
+    Duration left {}; // Time until the backoff ends; zero after the end, until a probe is answered.
 };
 
 struct ServerBackoffsOptions
 {
-    // The daemons' returns to a server are spread over so much time for each daemon.
-    Duration returnSpacing = std::chrono::milliseconds(10);
-    Duration longestSpread = std::chrono::seconds(2);
-    // A trial that got no answer counts for nothing after so long, and another one is sent.
-    Duration trialTimeout = std::chrono::seconds(1);
-    // A server that nobody wanted to ask after the end is taken for any other then.
-    Duration endedMemory = std::chrono::seconds(30);
-    // Of servers that are gone; an entry that lapsed may come back.
-    Duration goneMemory = std::chrono::minutes(10);
-    std::size_t mostServers = 4096;
+    // The daemons' delays after a backoff spread over this time per daemon, up to `maxSpread`.
+    Duration resumeSpacing = std::chrono::milliseconds(10);
+    Duration maxSpread = std::chrono::seconds(2);
+    // A probe that was not answered in this time is ignored, and another one is sent.
+    Duration probeTimeout = std::chrono::seconds(1);
+    // A backoff is dropped this long after this daemon may send again, even without an answered
+    // probe.
+    Duration endedRetention = std::chrono::seconds(30);
+    // A backoff is kept this long after its server left the fleet, since a lapsed registration may
+    // be renewed.
+    Duration goneRetention = std::chrono::minutes(10);
+    std::size_t maxServers = 4096;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -55,46 +57,49 @@
 public:
     explicit ServerBackoffs(ServerBackoffsOptions options = {}) : m_options(options) { }
 
-    // How many daemons send to the same servers, this one among them.
+    // Sets this daemon's id and the number of daemons that send to the same servers, including it.
     void setDaemons(const DaemonId &self, std::size_t daemons);
 
-    // The server turned a request away and asked for nothing for so long. A shorter time than what
-    // is left of an earlier one changes nothing.
+    // Records that the server refused a request and asked for this backoff. One that would end
+    // before the current backoff has no effect.
     BackoffChange noteRefusal(const HostId &host, Duration backoff, MonotonicTime now);
 
-    // Any other answer to a request that was sent at `sentAt`. One that was sent before the end of
-    // the backoff says nothing of it.
+    // Records an answer without a backoff to a request that was sent at `sentAt`. It ends the
+    // backoff only if the request was sent after the backoff period.
     BackoffChange noteAnswer(const HostId &host, MonotonicTime sentAt);
 
-    // Whether the time that the server asked for lasts: nothing at all may be sent.
+    // Whether the server's backoff period is running, in which nothing at all may be sent.
     bool isBackingOff(const HostId &host, MonotonicTime now) const;
 
-    // Whether a new request may be sent there.
+    // Whether a new request may be sent to the server.
     bool admits(const HostId &host, MonotonicTime now) const;
 
-    // When this daemon returns to the server; nothing if it has, be it only with a trial.
+    // When this daemon may send to the server again; empty if that time has passed or the server
+    // has no backoff.
     std::optional<MonotonicTime> returnsAt(const HostId &host, MonotonicTime now) const;
 
-    // A request is sent to the server.
+    // Records that a request is sent to the server.
     void take(const HostId &host, MonotonicTime now);
 
+    // Drops backoffs that ended long ago, and those of servers that left the fleet. `exists` tells
+    // whether a server is in the fleet.
     void forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now);
 
     bool empty() const { return m_backoffs.empty(); }
 
-    // All servers that are not taken for any other.
+    // All servers with a backoff, or waiting for an answered probe after one.
     std::vector<ServerBackoffState> states(MonotonicTime now) const;
 
 private:
     struct Backoff
     {
         MonotonicTime until;
-        MonotonicTime returnAt; // Of this daemon; not before `until`.
-        std::optional<MonotonicTime> trialAt; // When a request was last sent after that.
-        std::optional<MonotonicTime> missingSince; // When the server was first not in the fleet.
+        MonotonicTime resumeAt; // When this daemon may probe. Invariant: not before `until`.
+        std::optional<MonotonicTime> lastSentAt; // When a request was last sent.
+        std::optional<MonotonicTime> missingSince; // When the server was first absent.
     };
 
-    Duration returnDelay(const HostId &host) const;
+    Duration resumeDelay(const HostId &host) const;
 
     ServerBackoffsOptions m_options;
     DaemonId m_self;
