--- a/ramphinge/limits/server_departures.cpp
+++ b/ramphinge/limits/server_departures.cpp
@@ -8,23 +8,23 @@
 
 bool ServerDepartures::note(const HostId &host)
 {
-    if (m_leaving.size() >= m_options.mostServers)
+    if (m_leaving.size() >= m_options.maxServers)
         return false;
-    return m_leaving.emplace(host, Departure { m_options.tellings, {} }).second;
+    return m_leaving.emplace(host, Departure { m_options.broadcasts, {} }).second;
 }
 
 std::vector<HostId> ServerDepartures::takeNews()
 {
-    std::vector<HostId> news;
+    std::vector<HostId> due;
     for (auto &[host, departure] : m_leaving) {
-        if (news.size() == m_options.mostToldAtOnce)
+        if (due.size() == m_options.maxServersPerBroadcast)
             break;
-        if (departure.tellings == 0)
+        if (departure.broadcastsLeft == 0)
             continue;
-        --departure.tellings;
-        news.push_back(host);
+        --departure.broadcastsLeft;
+        due.push_back(host);
     }
-    return news;
+    return due;
 }
 
 void ServerDepartures::forgetOld(const std::function<bool(const HostId &)> &exists,
@@ -37,7 +37,7 @@
             return false;
         }
         missingSince = missingSince.value_or(now);
-        return now - *missingSince > m_options.goneMemory;
+        return now - *missingSince > m_options.goneRetention;
     });
 }
 
--- a/ramphinge/limits/server_departures.h
+++ b/ramphinge/limits/server_departures.h
@@ -1,5 +1,5 @@
-// Remembers the servers that said in an answer that they leave: they are sent no request any more
-// in that life, whatever their entries in the store say later.
+// Remembers the servers that announced in an answer that they shut down. Such an incarnation gets
+// no more requests, whatever its entry in the store says later.
 //
 // Pure: no clock, no network.
 
@@ -17,12 +17,14 @@
 
 struct ServerDeparturesOptions
 {
-    // The other daemons are told so often, for links that were being made.
-    int tellings = 3;
-    std::size_t mostToldAtOnce = 200; // Of some 20 bytes each.
-    // Of a server that is no longer in the fleet; an entry that lapsed may come back.
-    Duration goneMemory = std::chrono::minutes(10);
-    std::size_t mostServers = 16 * 1024;
+    // Number of times that a departure is broadcast to the other daemons. The repeats reach daemons
+    // whose links were still being established.
+    int broadcasts = 3;
+    std::size_t maxServersPerBroadcast = 200; // Servers per broadcast, about 20 bytes each.
+    // A departure is kept this long after its server left the fleet, since a lapsed registration
+    // may be renewed.
+    Duration goneRetention = std::chrono::minutes(10);
+    std::size_t maxServers = 16 * 1024;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -31,14 +33,15 @@
 public:
     explicit ServerDepartures(ServerDeparturesOptions options = {}) : m_options(options) { }
 
-    // The server said so, to this daemon or another one. True if it was not known.
+    // Records that the server announced its shutdown to any daemon. True if that is new.
     bool note(const HostId &host);
 
     bool isLeaving(const HostId &host) const { return m_leaving.count(host) > 0; }
 
-    // Whom the other daemons are to be told of now, as many as may be.
+    // The servers to include in the next broadcast to the other daemons, up to the limit.
     std::vector<HostId> takeNews();
 
+    // Drops servers that left the fleet long ago. `exists` tells whether a server is in the fleet.
     void forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now);
 
     bool empty() const { return m_leaving.empty(); }
@@ -47,8 +50,8 @@
 private:
     struct Departure
     {
-        int tellings = 0; // That are left.
-        std::optional<MonotonicTime> missingSince; // When the server was first not in the fleet.
+        int broadcastsLeft = 0;
+        std::optional<MonotonicTime> missingSince; // When the server was first absent.
     };
 
     ServerDeparturesOptions m_options;
