--- a/ramphinge/limits/server_gate.cpp
+++ b/ramphinge/limits/server_gate.cpp
@@ -1,4 +1,4 @@
-// What servers said of themselves: see server_gate.h.
+// Admission by the servers' statements: see server_gate.h.
 
 #include "ramphinge/limits/server_gate.h"
 
--- a/ramphinge/limits/server_gate.h
+++ b/ramphinge/limits/server_gate.h
@@ -1,11 +1,11 @@
-// Decides whether a server may be sent something now, by what it said of itself in its answers: the
-// rate that it accepts, the time for which it asked for nothing, and that it leaves. The one place
-// that every way to a server asks.
+// Decides whether something may be sent to a server now, from what it stated in its answers: the
+// rate that it accepts, a backoff, and that it shuts down. All code that sends to servers consults
+// this class.
 //
 //   gate.noteAnswer({ host, zone }, statement, sentAt, now);
 //   if (gate.admits(host, now)) {
 //       gate.take(host, now);
-//       ... // Connects; what the server says meanwhile counts too.
+//       ... // Connects. The server may state something else meanwhile.
 //       if (gate.mayWrite(host, SendPurpose::Request, now))
 //           write();
 //   }
@@ -26,15 +26,15 @@
 {
     LimitChange limit = LimitChange::None;
     BackoffChange backoff = BackoffChange::None;
-    bool isLeaving = false; // The server was not known to leave.
+    bool isLeaving = false; // The server announced its shutdown, and that is new.
 };
 
 enum class SendPurpose {
-    Request, // Of a caller.
-    Control, // A report or an order; a server that leaves is still told to close, and asked.
+    Request, // A caller's request.
+    Control, // A report query or an order. Servers that shut down still get these.
 };
 
-// What daemons tell each other of what servers said.
+// What daemons broadcast to each other about the statements of servers.
 struct ServerNews
 {
     std::vector<ServerLimitNews> limits;
@@ -47,41 +47,43 @@
 class ServerGate
 {
 public:
-    // The daemons that are registered, all zones together; `self` counts in any case.
+    // Sets the registered daemons of all zones. `self` counts as one even if it is not listed.
     void setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
                     MonotonicTime now);
 
-    // What an answer to a request that was sent at `sentAt` says of its server.
+    // Applies the statement in an answer to a request that was sent at `sentAt`.
     StatementChanges noteAnswer(const LimitedServer &server, const ServerStatement &statement,
                                 MonotonicTime sentAt, MonotonicTime now);
 
-    // What the other daemons are to be told now.
+    // What to broadcast to the other daemons now.
     ServerNews takeNews(MonotonicTime now);
 
-    // Another daemon heard the server say that it leaves. True if it was not known.
+    // Records that the server announced its shutdown to another daemon. True if that is new.
     bool hearLeaving(const HostId &host) { return m_departures.note(host); }
 
-    // Whether a new request may be sent there.
+    // Whether a new request may be sent to the server.
     bool admits(const HostId &host, MonotonicTime now) const
     {
         return !m_departures.isLeaving(host) && m_backoffs.admits(host, now)
             && m_limits.admits(host, now);
     }
 
-    // A new request is to be sent there.
+    // Records that a new request is sent to the server.
     void take(const HostId &host, MonotonicTime now);
 
-    // Whether what was admitted or is not asked for may be written now.
+    // Whether something may be written to the server now: an admitted request, or control traffic,
+    // which needs no admission.
     bool mayWrite(const HostId &host, SendPurpose purpose, MonotonicTime now) const
     {
         const bool mayGoThere = purpose == SendPurpose::Control || !m_departures.isLeaving(host);
         return mayGoThere && !m_backoffs.isBackingOff(host, now);
     }
 
-    // Lets go of what has ended, and of servers that are gone.
+    // Drops what ended long ago, and what concerns servers that left the fleet. `exists` tells
+    // whether a server is in the fleet.
     void forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now);
 
-    // Whether no server has said anything that holds something back.
+    // Whether no limit, backoff or departure is recorded.
     bool empty() const { return m_limits.empty() && m_backoffs.empty() && m_departures.empty(); }
 
     ServerLimits &limits() { return m_limits; }
--- a/ramphinge/limits/server_statement.cpp
+++ b/ramphinge/limits/server_statement.cpp
@@ -1,4 +1,4 @@
-// Statements of servers: see server_statement.h.
+// Names of statement fields: see server_statement.h.
 
 #include "ramphinge/limits/server_statement.h"
 
--- a/ramphinge/limits/server_statement.h
+++ b/ramphinge/limits/server_statement.h
@@ -1,4 +1,5 @@
-// What a server says of itself beside an answer, whatever the wire calls it.
+// What a server states about itself along with an answer (rate limit, backoff, leaving),
+// independent of the wire format.
 
 #pragma once
 
@@ -16,15 +17,15 @@
 
 struct ServerStatement
 {
-    // Whether the answer is the server's own and whole in its head. Only then does it say something
-    // that a field is missing.
+    // Whether the answer comes from the server itself and its head is complete. Only then does a
+    // missing field mean that the server doesn't state it.
     bool isAuthentic = false;
-    // The most that the server accepts from all daemons together; nothing if it states no limit.
+    // Rate that the server accepts from all daemons together; empty if it states no limit.
     std::optional<RequestRate> rateLimit;
-    // The server wants no request from this daemon for so long; nothing if it doesn't ask for it.
+    // Period in which the server wants no request from this daemon; empty if it states none.
     std::optional<Duration> backoff;
-    bool isLeaving = false; // It ends soon, and is to get nothing new in this life.
-    std::set<StatementField> unreadable; // Fields that were there with a value that can't be.
+    bool isLeaving = false; // It shuts down soon; this incarnation must get no new requests.
+    std::set<StatementField> unreadable; // Fields that were present with an invalid value.
 };
 
 } // namespace ramphinge
