--- a/ramphinge/limits/server_limits.cpp
+++ b/ramphinge/limits/server_limits.cpp
@@ -1,4 +1,4 @@
-// Rates that servers accept: see server_limits.h.
+// Rate limits that servers state: see server_limits.h.
 
 #include "ramphinge/limits/server_limits.h"
 
@@ -38,31 +38,31 @@
 void ServerLimits::setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
                               MonotonicTime now)
 {
-    // Most changes of the fleet are not of the daemons.
-    const bool noneIsMissing = m_daemons.size() == m_listed.size();
-    if (self == m_self && daemons == m_listed && noneIsMissing)
+    // Most changes of the fleet don't affect the daemons.
+    const bool noneIsMissing = m_daemons.size() == m_registered.size();
+    if (self == m_self && daemons == m_registered && noneIsMissing)
         return;
     m_self = self;
-    m_listed = daemons;
+    m_registered = daemons;
     bool changed = false;
-    std::set<DaemonId> listed;
-    const auto list = [&](const LimitSharer &sharer) {
-        listed.insert(sharer.daemon);
+    std::set<DaemonId> registered;
+    const auto addDaemon = [&](const LimitSharer &sharer) {
+        registered.insert(sharer.daemon);
         const bool isNew =
             m_daemons.insert_or_assign(sharer.daemon, Daemon { sharer.zone, {} }).second;
         if (isNew)
-            m_daemonsGrewAt = now;
+            m_lastDaemonAddedAt = now;
         changed |= isNew;
     };
     for (const LimitSharer &sharer : daemons)
-        list(sharer);
-    list(self);
+        addDaemon(sharer);
+    addDaemon(self);
     eraseIf(m_daemons, [&](auto &entry) {
-        if (listed.count(entry.first) > 0)
+        if (registered.count(entry.first) > 0)
             return false;
         std::optional<MonotonicTime> &since = entry.second.missingSince;
         since = since.value_or(now);
-        const bool isForgotten = now - *since > m_options.daemonMemory;
+        const bool isForgotten = now - *since > m_options.daemonRetention;
         changed |= isForgotten;
         return isForgotten;
     });
@@ -72,38 +72,40 @@
         limit.rank = rankFor({ host, limit.zone });
 }
 
-// Daemons of the server's zone and of all zones take turns in the order, each by their scores: so
-// whatever number of sharers is taken from its front, half of them are near.
+// The order alternates between the best remaining daemon of the server's zone and the best
+// remaining one of all zones, by score. So in any number of leading ranks at least half are in the
+// server's zone, as long as it has daemons left.
 std::size_t ServerLimits::rankFor(const LimitedServer &server) const
 {
     struct Candidate
     {
         std::uint64_t score;
-        bool isNear;
+        bool isInZone;
         bool isSelf;
     };
     const std::uint64_t key = stableHash(server.host.text());
-    std::vector<Candidate> others;
+    std::vector<Candidate> candidates;
     for (const auto &[daemon, known] : m_daemons)
-        others.push_back({ rendezvousScore(key, daemon.text()), known.zone == server.zone,
-                           daemon == m_self.daemon });
-    std::sort(others.begin(), others.end(),
+        candidates.push_back({ rendezvousScore(key, daemon.text()), known.zone == server.zone,
+                               daemon == m_self.daemon });
+    std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &a, const Candidate &b) { return a.score > b.score; });
-    std::vector<bool> taken(others.size(), false);
-    std::size_t nextNear = 0;
-    std::size_t nextOfAll = 0;
-    for (std::size_t rank = 0; rank < others.size(); ++rank) {
-        while (nextNear < others.size() && (taken[nextNear] || !others[nextNear].isNear))
-            ++nextNear;
-        while (taken[nextOfAll])
-            ++nextOfAll;
-        const bool takesNear = rank % 2 == 0 && nextNear < others.size();
-        const std::size_t next = takesNear ? nextNear : nextOfAll;
-        if (others[next].isSelf)
+    std::vector<bool> ranked(candidates.size(), false);
+    std::size_t nextInZone = 0;
+    std::size_t nextInAnyZone = 0;
+    for (std::size_t rank = 0; rank < candidates.size(); ++rank) {
+        while (nextInZone < candidates.size()
+               && (ranked[nextInZone] || !candidates[nextInZone].isInZone))
+            ++nextInZone;
+        while (ranked[nextInAnyZone])
+            ++nextInAnyZone;
+        const bool takesInZone = rank % 2 == 0 && nextInZone < candidates.size();
+        const std::size_t next = takesInZone ? nextInZone : nextInAnyZone;
+        if (candidates[next].isSelf)
             return rank;
-        taken[next] = true;
+        ranked[next] = true;
     }
-    return 0; // This daemon is not known yet.
+    return 0; // setDaemons() has not been called yet.
 }
 
 LimitChange ServerLimits::noteAnswer(const LimitedServer &server, std::optional<RequestRate> stated,
@@ -111,13 +113,13 @@
 {
     const auto known = m_limits.find(server.host);
     if (stated && known == m_limits.end()) {
-        if (m_limits.size() >= m_options.mostServers)
+        if (m_limits.size() >= m_options.maxServers)
             return LimitChange::None;
         add(server, *stated, now, now);
         return LimitChange::Stated;
     }
     if (stated)
-        return restate(known->second, *stated, now, now);
+        return applyStatement(known->second, *stated, now, now);
     if (known == m_limits.end() || known->second.endedAt || sentAt <= known->second.statedAt)
         return LimitChange::None;
     end(known->second, now, now);
@@ -129,9 +131,9 @@
     const MonotonicTime observedAt = now - news.age;
     const auto known = m_limits.find(news.server.host);
     if (known == m_limits.end()) {
-        if (!isInFleet && news.age > m_options.goneMemory)
+        if (!isInFleet && news.age > m_options.goneRetention)
             return LimitChange::None;
-        if (!news.rate || m_limits.size() >= m_options.mostServers)
+        if (!news.rate || m_limits.size() >= m_options.maxServers)
             return LimitChange::None;
         add(news.server, *news.rate, observedAt, now);
         return LimitChange::Stated;
@@ -140,7 +142,7 @@
     if (observedAt <= std::max(limit.statedAt, limit.endedAt.value_or(limit.statedAt)))
         return LimitChange::None;
     if (news.rate)
-        return restate(limit, *news.rate, observedAt, now);
+        return applyStatement(limit, *news.rate, observedAt, now);
     if (limit.endedAt)
         return LimitChange::None;
     end(limit, observedAt, now);
@@ -156,12 +158,12 @@
     limit.statedAt = statedAt;
     limit.refilledAt = now;
     limit.rank = rankFor(server);
-    tell(limit, now);
+    scheduleBroadcast(limit, now);
     return limit;
 }
 
-LimitChange ServerLimits::restate(Limit &limit, RequestRate rate, MonotonicTime statedAt,
-                                  MonotonicTime now)
+LimitChange ServerLimits::applyStatement(Limit &limit, RequestRate rate, MonotonicTime statedAt,
+                                         MonotonicTime now)
 {
     const bool hadEnded = limit.endedAt.has_value();
     const bool changed = limit.rate != rate;
@@ -169,9 +171,9 @@
     limit.rate = rate;
     limit.statedAt = statedAt;
     limit.endedAt.reset();
-    refill(limit, now); // To what may be saved up at this rate.
+    refill(limit, now); // Caps the tokens at the capacity for the new rate.
     if (hadEnded || changed)
-        tell(limit, now);
+        scheduleBroadcast(limit, now);
     if (hadEnded)
         return LimitChange::Stated;
     return changed ? LimitChange::Changed : LimitChange::None;
@@ -181,30 +183,31 @@
 {
     refill(limit, now);
     limit.endedAt = endedAt;
-    tell(limit, now);
+    scheduleBroadcast(limit, now);
 }
 
-void ServerLimits::tell(Limit &limit, MonotonicTime now) const
+void ServerLimits::scheduleBroadcast(Limit &limit, MonotonicTime now) const
 {
-    limit.tellings = 1 + m_options.repeatsOfNews;
-    limit.tellAt = now;
+    limit.broadcastsLeft = 1 + m_options.broadcastRepeats;
+    limit.nextBroadcastAt = now;
 }
 
-std::size_t ServerLimits::newsAllowed(MonotonicTime now)
+std::size_t ServerLimits::updatesAllowed(MonotonicTime now)
 {
-    const double saved = m_newsSaved + m_options.newsPerSecond * toSeconds(now - m_newsAt);
-    m_newsSaved = std::min(m_options.newsBurst, saved);
-    m_newsAt = now;
-    return static_cast<std::size_t>(m_newsSaved);
+    const double accrued =
+        m_updateTokens + m_options.updatesPerSecond * toSeconds(now - m_updateTokensAt);
+    m_updateTokens = std::min(m_options.updateBurst, accrued);
+    m_updateTokensAt = now;
+    return static_cast<std::size_t>(m_updateTokens);
 }
 
-ServerLimitNews ServerLimits::newsOf(const HostId &host, Limit &limit, MonotonicTime now) const
+ServerLimitNews ServerLimits::makeUpdate(const HostId &host, Limit &limit, MonotonicTime now) const
 {
     const MonotonicTime observedAt = limit.endedAt.value_or(limit.statedAt);
-    limit.tellings = std::max(0, limit.tellings - 1);
-    limit.toldUpTo = observedAt;
-    if (limit.tellings == 0)
-        limit.tellAt = now + m_options.newsInterval;
+    limit.broadcastsLeft = std::max(0, limit.broadcastsLeft - 1);
+    limit.broadcastUpTo = observedAt;
+    if (limit.broadcastsLeft == 0)
+        limit.nextBroadcastAt = now + m_options.broadcastInterval;
     return { { host, limit.zone },
              limit.endedAt ? std::nullopt : std::optional<RequestRate>(limit.rate),
              now - observedAt };
@@ -212,29 +215,29 @@
 
 std::vector<ServerLimitNews> ServerLimits::takeNews(MonotonicTime now)
 {
-    using Due = std::pair<const HostId, Limit>;
-    std::vector<Due *> due;
-    for (Due &entry : m_limits) {
+    using Entry = std::pair<const HostId, Limit>;
+    std::vector<Entry *> due;
+    for (Entry &entry : m_limits) {
         const Limit &limit = entry.second;
-        const bool isNews =
-            limit.tellings > 0 || limit.endedAt.value_or(limit.statedAt) > limit.toldUpTo;
-        if (now >= limit.tellAt && isNews)
+        const bool hasUpdate = limit.broadcastsLeft > 0
+            || limit.endedAt.value_or(limit.statedAt) > limit.broadcastUpTo;
+        if (now >= limit.nextBroadcastAt && hasUpdate)
             due.push_back(&entry);
     }
-    // Those that have been told fewest times, then those that have waited longest.
-    std::stable_sort(due.begin(), due.end(), [](const Due *a, const Due *b) {
-        return std::make_pair(-a->second.tellings, a->second.tellAt)
-            < std::make_pair(-b->second.tellings, b->second.tellAt);
+    // Those with the most broadcasts left first, then those that have been due for longest.
+    std::stable_sort(due.begin(), due.end(), [](const Entry *a, const Entry *b) {
+        return std::make_pair(-a->second.broadcastsLeft, a->second.nextBroadcastAt)
+            < std::make_pair(-b->second.broadcastsLeft, b->second.nextBroadcastAt);
     });
-    due.resize(std::min(due.size(), newsAllowed(now)));
+    due.resize(std::min(due.size(), updatesAllowed(now)));
     std::vector<ServerLimitNews> news;
-    for (Due *entry : due)
-        news.push_back(newsOf(entry->first, entry->second, now));
-    m_newsSaved -= static_cast<double>(news.size());
+    for (Entry *entry : due)
+        news.push_back(makeUpdate(entry->first, entry->second, now));
+    m_updateTokens -= static_cast<double>(news.size());
     return news;
 }
 
-// Since the limit's end; none if it has not ended.
+// Recovery steps since the limit ended, with a fraction; 0 if it has not ended.
 double ServerLimits::recoveryStepsOf(const Limit &limit, MonotonicTime now) const
 {
     if (!limit.endedAt)
@@ -242,82 +245,84 @@
     return toSeconds(now - *limit.endedAt) / toSeconds(m_options.recoveryStep);
 }
 
-bool ServerLimits::isOver(const Limit &limit, MonotonicTime now) const
+bool ServerLimits::hasRecovered(const Limit &limit, MonotonicTime now) const
 {
-    return recoveryStepsOf(limit, now) >= m_options.heldSteps + m_options.doublingSteps;
+    return recoveryStepsOf(limit, now) >= m_options.constantSteps + m_options.doublingSteps;
 }
 
 RequestRate ServerLimits::acceptedRate(const Limit &limit, MonotonicTime now) const
 {
-    const double doublings = recoveryStepsOf(limit, now) - m_options.heldSteps;
-    const double rate = std::max(limit.rate, m_options.leastRate).perSecond();
+    const double doublings = recoveryStepsOf(limit, now) - m_options.constantSteps;
+    const double rate = std::max(limit.rate, m_options.minRate).perSecond();
     return RequestRate(rate * std::exp2(std::max(0.0, doublings)));
 }
 
-double ServerLimits::sharersOf(const Limit &limit, MonotonicTime now) const
+double ServerLimits::sharerCount(const Limit &limit, MonotonicTime now) const
 {
     const RequestRate rate = limit.endedAt ? acceptedRate(limit, now) : limit.rate;
     const double wanted =
-        std::floor(m_options.leastSharers + m_options.sharersPerRate * rate.perSecond());
-    const bool isGrowing = now - m_daemonsGrewAt < m_options.daemonsSettle;
+        std::floor(m_options.baseSharers + m_options.sharersPerRequestRate * rate.perSecond());
+    const bool isGrowing = now - m_lastDaemonAddedAt < m_options.daemonSettleTime;
     const double daemons = static_cast<double>(std::max<std::size_t>(1, m_daemons.size()))
-        * (isGrowing ? m_options.unknownDaemons : 1);
+        * (isGrowing ? m_options.unknownDaemonsFactor : 1);
     return std::min(wanted, daemons);
 }
 
-// Only for a daemon that shares the server now. One that became a sharer as the accepted rate
-// recovers has saved up nothing before.
-MonotonicTime ServerLimits::sharesSince(const Limit &limit) const
+// The time from which this daemon accrues tokens; it must be a sharer now. A daemon that became a
+// sharer as the accepted rate recovered accrued nothing before that moment.
+MonotonicTime ServerLimits::accruesSince(const Limit &limit) const
 {
-    const double needed =
-        (static_cast<double>(limit.rank) + 1 - m_options.leastSharers) / m_options.sharersPerRate;
-    const double rate = std::max(limit.rate, m_options.leastRate).perSecond();
-    if (!limit.endedAt || needed <= rate)
+    const double requiredRate = (static_cast<double>(limit.rank) + 1 - m_options.baseSharers)
+        / m_options.sharersPerRequestRate;
+    const double rate = std::max(limit.rate, m_options.minRate).perSecond();
+    if (!limit.endedAt || requiredRate <= rate)
         return limit.refilledAt;
-    const double steps = m_options.heldSteps + std::log2(needed / rate);
+    const double steps = m_options.constantSteps + std::log2(requiredRate / rate);
     return *limit.endedAt + scaled(m_options.recoveryStep, steps);
 }
 
-double ServerLimits::tokensOf(const Limit &limit, MonotonicTime now) const
+double ServerLimits::availableTokens(const Limit &limit, MonotonicTime now) const
 {
-    const double sharers = sharersOf(limit, now);
+    const double sharers = sharerCount(limit, now);
     if (static_cast<double>(limit.rank) >= sharers)
         return 0;
     const double share = acceptedRate(limit, now).perSecond() / sharers;
-    const double most = std::max(m_options.leastBurst, share * toSeconds(m_options.burst));
-    const MonotonicTime since = sharesSince(limit);
-    const double first = since > limit.refilledAt ? m_options.firstTokens : limit.tokens;
-    const Duration saved = now - std::max(since, limit.refilledAt);
-    return std::min(most, first + share * toSeconds(std::max(Duration::zero(), saved)));
+    const double capacity =
+        std::max(m_options.minBurstRequests, share * toSeconds(m_options.burstTime));
+    const MonotonicTime since = accruesSince(limit);
+    const double initial = since > limit.refilledAt ? m_options.newSharerTokens : limit.tokens;
+    const Duration accrual = now - std::max(since, limit.refilledAt);
+    return std::min(capacity, initial + share * toSeconds(std::max(Duration::zero(), accrual)));
 }
 
 void ServerLimits::refill(Limit &limit, MonotonicTime now) const
 {
-    limit.tokens = tokensOf(limit, now);
+    limit.tokens = availableTokens(limit, now);
     limit.refilledAt = now;
 }
 
-// The turns count from the last statement, which the daemons know alike; a turn that passes without
-// a request is lost, so that no crowd of daemons is due at once.
-bool ServerLimits::hasTurn(const Limit &limit, MonotonicTime now) const
+// Slots are counted from the last statement, on which the daemons agree. A slot that passes without
+// a request is lost, so that daemons don't accumulate and probe at the same time.
+bool ServerLimits::mayProbe(const Limit &limit, MonotonicTime now) const
 {
-    const MonotonicTime start = limit.statedAt + m_options.askAfter;
+    const MonotonicTime start = limit.statedAt + m_options.probeAfter;
     if (now < start)
         return false;
-    const auto turns = m_options.turnsPerDaemon
+    const auto slots = m_options.probeSlotsPerDaemon
         * static_cast<std::int64_t>(std::max<std::size_t>(1, m_daemons.size()));
-    if (limit.askedAt && now - *limit.askedAt < m_options.turn * turns)
+    if (limit.lastSentAt && now - *limit.lastSentAt < m_options.probeSlot * slots)
         return false;
-    return (now - start) / m_options.turn % turns == static_cast<std::int64_t>(limit.rank) % turns;
+    return (now - start) / m_options.probeSlot % slots
+        == static_cast<std::int64_t>(limit.rank) % slots;
 }
 
 bool ServerLimits::admits(const HostId &host, MonotonicTime now) const
 {
     const auto known = m_limits.find(host);
-    if (known == m_limits.end() || isOver(known->second, now))
+    if (known == m_limits.end() || hasRecovered(known->second, now))
         return true;
     const Limit &limit = known->second;
-    return tokensOf(limit, now) >= 1 || hasTurn(limit, now);
+    return availableTokens(limit, now) >= 1 || mayProbe(limit, now);
 }
 
 void ServerLimits::take(const HostId &host, MonotonicTime now)
@@ -328,13 +333,13 @@
     Limit &limit = known->second;
     refill(limit, now);
     limit.tokens = std::max(0.0, limit.tokens - 1);
-    limit.askedAt = now;
+    limit.lastSentAt = now;
 }
 
 std::optional<RequestRate> ServerLimits::rateOf(const HostId &host, MonotonicTime now) const
 {
     const auto known = m_limits.find(host);
-    if (known == m_limits.end() || isOver(known->second, now))
+    if (known == m_limits.end() || hasRecovered(known->second, now))
         return std::nullopt;
     return acceptedRate(known->second, now);
 }
@@ -343,9 +348,9 @@
 {
     eraseIf(m_limits, [&](const auto &entry) {
         const Limit &limit = entry.second;
-        if (limit.endedAt && now - *limit.endedAt > m_options.endedMemory)
+        if (limit.endedAt && now - *limit.endedAt > m_options.endedRetention)
             return true;
-        return now - limit.statedAt > m_options.goneMemory && !exists(entry.first);
+        return now - limit.statedAt > m_options.goneRetention && !exists(entry.first);
     });
 }
 
@@ -353,11 +358,11 @@
 {
     std::vector<ServerLimitState> all;
     for (const auto &[host, limit] : m_limits) {
-        if (isOver(limit, now))
+        if (hasRecovered(limit, now))
             continue;
         all.push_back({ host, acceptedRate(limit, now), now - limit.statedAt,
                         limit.endedAt.has_value(),
-                        static_cast<double>(limit.rank) < sharersOf(limit, now) });
+                        static_cast<double>(limit.rank) < sharerCount(limit, now) });
     }
     return all;
 }
--- a/ramphinge/limits/server_limits.h
+++ b/ramphinge/limits/server_limits.h
@@ -1,14 +1,14 @@
-// Keeps the rates that servers state in their answers as the most that they accept, from all
-// daemons together.
+// Enforces the rate limits that servers state in their answers. A limit applies to the requests of
+// all daemons together.
 //
-// A limited server is shared by a few daemons, the more the higher its rate; every daemon computes
-// the same ones by rendezvous hashing over the registered daemons, half of them in the server's own
-// zone. Each sharer has an equal part of the rate as a token bucket that starts empty, so the sum
-// over all daemons is bounded without a message between them: a daemon that starts again brings
-// nothing along. The others send the server nothing while they hear that it is limited; without
-// news they ask it in turns.
+// A limited server is shared by a few daemons, more of them at higher rates. All daemons compute
+// the same sharers by rendezvous hashing over the registered daemons, half of them in the server's
+// own zone. Each sharer has an equal share of the rate as a token bucket, so the sum over all
+// daemons is bounded without coordination. The bucket starts empty, so that a daemon that restarts
+// gains no allowance. The other daemons send the server nothing while updates say that it is
+// limited; without updates they probe it one after the other.
 //
-// After the limit's end the accepted rate doubles by steps until it is without a bound.
+// After a limit ends, the accepted rate is doubled in steps and finally becomes unlimited.
 //
 //   ServerLimits limits(options);
 //   limits.setDaemons(self, daemons, now);
@@ -54,64 +54,73 @@
     }
 };
 
-// What daemons tell each other of a server's limit. An age travels instead of a time, since clocks
-// differ.
+// An update about a server's limit that daemons broadcast to each other. It carries an age instead
+// of a time, since their clocks differ.
 struct ServerLimitNews
 {
     LimitedServer server;
-    std::optional<RequestRate> rate; // Nothing: the limit has ended.
-    Duration age {}; // Since an answer said so.
+    std::optional<RequestRate> rate; // Empty: the limit has ended.
+    Duration age {}; // Time since the answer that stated it or ended the limit.
 };
 
 // What a daemon knows of a server's limit.
 struct ServerLimitState
 {
     HostId host;
-    RequestRate accepted; // By all daemons together.
-    Duration statedBefore {}; // Since an answer last stated it.
-    bool hasEnded = false; // The accepted rate rises.
-    bool isSharer = false; // This daemon may send it requests.
+    RequestRate accepted; // From all daemons together.
+    Duration statedBefore {}; // Time since an answer last stated the limit.
+    bool hasEnded = false; // The limit has ended, and the accepted rate is recovering.
+    bool isSharer = false; // This daemon has a share of the accepted rate.
 };
 
 struct ServerLimitsOptions
 {
-    // Daemons that share a server, and how many more for each request a second that it accepts.
-    double leastSharers = 2.6;
-    double sharersPerRate = 1.4;
-    // Sent to a server that accepts less: only an answer can end its limit.
-    RequestRate leastRate { 0.5 };
-    // A sharer saves up its part of so much time, but so many requests at least.
-    Duration burst = std::chrono::seconds(1);
-    double leastBurst = 1.4;
-    // A daemon that is no longer registered keeps its part for so long: registrations lapse while
-    // the store is away, and processes that restart register again.
-    Duration daemonMemory = std::chrono::seconds(30);
-    // While the list of daemons grows, there may be so many times as many as are known.
-    Duration daemonsSettle = std::chrono::seconds(5);
-    double unknownDaemons = 4;
-    // After a limit's end the rate stays for some steps, since a limit may come and go, then
-    // doubles in each step, and is unbounded after so many more.
+    // Number of daemons that share a server: baseSharers + sharersPerRequestRate x rate in requests
+    // per second, rounded down.
+    double baseSharers = 2.6;
+    double sharersPerRequestRate = 1.4;
+    // Rate that is sent to a server that states a lower one, since only an answer can end its
+    // limit.
+    RequestRate minRate { 0.5 };
+    // Capacity of a sharer's token bucket: its share of the rate over `burstTime`, but at least
+    // `minBurstRequests` requests.
+    Duration burstTime = std::chrono::seconds(1);
+    double minBurstRequests = 1.4;
+    // A daemon whose registration is gone keeps its share for this time: registrations lapse while
+    // the store is unavailable, and restarted processes register again.
+    Duration daemonRetention = std::chrono::seconds(30);
+    // Until this time after the last new daemon, the fleet is assumed to have
+    // `unknownDaemonsFactor` times the daemons that are known.
+    Duration daemonSettleTime = std::chrono::seconds(5);
+    double unknownDaemonsFactor = 4;
+    // After a limit ends, the accepted rate stays constant for `constantSteps` steps, since limits
+    // may alternate, then doubles in each of `doublingSteps` steps and becomes unlimited after
+    // them.
     Duration recoveryStep = std::chrono::milliseconds(700);
-    int heldSteps = 3;
+    int constantSteps = 3;
     int doublingSteps = 6;
-    // Of a daemon that becomes a sharer meanwhile.
-    double firstTokens = 0.5;
-    // A daemon that is no sharer and has no news of the server for so long asks it in its turn.
-    Duration askAfter = std::chrono::seconds(5);
-    Duration turn = std::chrono::seconds(4);
-    std::int64_t turnsPerDaemon = 2; // All but one pass: without links the turns are not in step.
-    // News is told at once and twice more, for links that were being made, and then at most so
-    // often.
-    int repeatsOfNews = 2;
-    Duration newsInterval = std::chrono::seconds(2);
-    // Of all servers together, 45 bytes each: control traffic may take 5 KB a second of a link.
-    // Changes go first, then what was told the longest ago.
-    double newsPerSecond = 90;
-    double newsBurst = 360;
-    // An ended limit, or one of a server that is gone, is kept in mind for so long.
-    Duration endedMemory = std::chrono::seconds(40);
-    Duration goneMemory = std::chrono::seconds(30);
-    std::size_t mostServers = 4096;
+    // Initial tokens of a daemon that becomes a sharer during the recovery.
+    double newSharerTokens = 0.5;
+    // Once the last statement is older than `probeAfter`, daemons without tokens probe the server,
+    // each in its own time slot of length `probeSlot`.
+    Duration probeAfter = std::chrono::seconds(5);
+    Duration probeSlot = std::chrono::seconds(4);
+    // Slots per daemon in a cycle, of which it uses one: without links, the daemons' cycles are not
+    // aligned.
+    std::int64_t probeSlotsPerDaemon = 2;
+    // A change is broadcast at once and repeated `broadcastRepeats` times, for daemons whose links
+    // were still being established. After that, newer statements are broadcast at this interval.
+    int broadcastRepeats = 2;
+    Duration broadcastInterval = std::chrono::seconds(2);
+    // Updates per second for all servers together, at 45 bytes each: control traffic may use 5 KB/s
+    // of a link. Changes take precedence, then the servers that have been due for longest.
+    double updatesPerSecond = 90;
+    double updateBurst = 360;
+    // Retention of a limit after it ended, and after the last statement of a server that left the
+    // fleet.
+    Duration endedRetention = std::chrono::seconds(40);
+    Duration goneRetention = std::chrono::seconds(30);
+    std::size_t maxServers = 4096;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -120,37 +129,38 @@
 public:
     explicit ServerLimits(ServerLimitsOptions options = {}) : m_options(options) { }
 
-    // The daemons that are registered, all zones together; `self` counts in any case.
+    // Sets the registered daemons of all zones. `self` counts as one even if it is not registered.
     void setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
                     MonotonicTime now);
 
-    // An answer to a request that was sent at `sentAt`; `stated` is nothing if it states no rate.
-    // A limit ends with an answer without one to a request that was sent after the last statement:
-    // answers on different connections may overtake each other.
+    // Records an answer to a request that was sent at `sentAt`. `stated` is empty if the answer
+    // states no limit; that ends the limit only if the request was sent after the last statement,
+    // since answers on different connections may arrive out of order.
     LimitChange noteAnswer(const LimitedServer &server, std::optional<RequestRate> stated,
                            MonotonicTime sentAt, MonotonicTime now);
 
-    // What another daemon tells; the newer word counts. Old news of a server that is not in the
-    // fleet is passed over: daemons that have forgotten the server would bring it back for each
-    // other.
+    // Applies another daemon's update if it is newer than what is known. An old update about a
+    // server that left the fleet is ignored; otherwise daemons that have dropped the server would
+    // restore it for each other.
     LimitChange hear(const ServerLimitNews &news, MonotonicTime now, bool isInFleet = true);
 
-    // What the other daemons are to be told now, as much as may be.
+    // The updates to broadcast to the other daemons now, within the rate of updates.
     std::vector<ServerLimitNews> takeNews(MonotonicTime now);
 
     // Whether this daemon may send the server a request now.
     bool admits(const HostId &host, MonotonicTime now) const;
 
-    // A request is sent to the server.
+    // Records that a request is sent to the server.
     void take(const HostId &host, MonotonicTime now);
 
-    // What the server accepts; nothing if it has no limit.
+    // Rate that the server accepts from all daemons together; empty if it is unlimited.
     std::optional<RequestRate> rateOf(const HostId &host, MonotonicTime now) const;
 
-    // Lets go of limits that have ended, and of those of servers that are gone.
+    // Drops limits that ended long ago, and those of servers that left the fleet. `exists` tells
+    // whether a server is in the fleet.
     void forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now);
 
-    // All servers that don't accept any number now.
+    // All servers that are limited or recovering from a limit.
     std::vector<ServerLimitState> states(MonotonicTime now) const;
     bool empty() const { return m_limits.empty(); }
     std::size_t daemons() const { return m_daemons.size(); }
@@ -160,48 +170,50 @@
     {
         ZoneId zone;
         RequestRate rate; // As last stated.
-        MonotonicTime statedAt; // When an answer last stated it, to whatever daemon.
+        MonotonicTime statedAt; // When an answer last stated it to any daemon.
         std::optional<MonotonicTime> endedAt;
-        std::size_t rank = 0; // Of this daemon among those that might share it.
-        double tokens = 0; // As of `refilledAt`.
+        std::size_t rank = 0; // This daemon's position among the candidate sharers.
+        double tokens = 0; // Requests that may be sent, as of `refilledAt`.
         MonotonicTime refilledAt;
-        std::optional<MonotonicTime> askedAt; // When this daemon last had its turn.
-        int tellings = 0; // Of the last change, that are left.
-        MonotonicTime tellAt; // The next time, if there is news.
-        MonotonicTime toldUpTo; // The observation that was told last.
+        std::optional<MonotonicTime> lastSentAt; // When this daemon last sent a request.
+        int broadcastsLeft = 0; // Of the last change.
+        MonotonicTime nextBroadcastAt; // Earliest time of the next broadcast.
+        MonotonicTime broadcastUpTo; // Time of the newest observation that was broadcast.
     };
 
     struct Daemon
     {
         ZoneId zone;
-        std::optional<MonotonicTime> missingSince; // When it was first not registered any more.
+        std::optional<MonotonicTime> missingSince; // When its registration was first absent.
     };
 
     Limit &add(const LimitedServer &server, RequestRate rate, MonotonicTime statedAt,
                MonotonicTime now);
-    LimitChange restate(Limit &limit, RequestRate rate, MonotonicTime statedAt, MonotonicTime now);
+    LimitChange applyStatement(Limit &limit, RequestRate rate, MonotonicTime statedAt,
+                               MonotonicTime now);
     void end(Limit &limit, MonotonicTime endedAt, MonotonicTime now);
-    void tell(Limit &limit, MonotonicTime now) const;
-    std::size_t newsAllowed(MonotonicTime now);
-    ServerLimitNews newsOf(const HostId &host, Limit &limit, MonotonicTime now) const;
+    void scheduleBroadcast(Limit &limit, MonotonicTime now) const;
+    std::size_t updatesAllowed(MonotonicTime now);
+    ServerLimitNews makeUpdate(const HostId &host, Limit &limit, MonotonicTime now) const;
     std::size_t rankFor(const LimitedServer &server) const;
     double recoveryStepsOf(const Limit &limit, MonotonicTime now) const;
-    bool isOver(const Limit &limit, MonotonicTime now) const;
+    bool hasRecovered(const Limit &limit, MonotonicTime now) const;
     RequestRate acceptedRate(const Limit &limit, MonotonicTime now) const;
-    double sharersOf(const Limit &limit, MonotonicTime now) const;
-    MonotonicTime sharesSince(const Limit &limit) const;
-    double tokensOf(const Limit &limit, MonotonicTime now) const;
+    double sharerCount(const Limit &limit, MonotonicTime now) const;
+    MonotonicTime accruesSince(const Limit &limit) const;
+    double availableTokens(const Limit &limit, MonotonicTime now) const;
     void refill(Limit &limit, MonotonicTime now) const;
-    bool hasTurn(const Limit &limit, MonotonicTime now) const;
+    bool mayProbe(const Limit &limit, MonotonicTime now) const;
 
     ServerLimitsOptions m_options;
     LimitSharer m_self;
-    std::map<DaemonId, Daemon> m_daemons; // This one among them, once it is known.
-    std::vector<LimitSharer> m_listed; // As last given to setDaemons().
-    MonotonicTime m_daemonsGrewAt;
+    std::map<DaemonId, Daemon> m_daemons; // Includes this one after setDaemons().
+    std::vector<LimitSharer> m_registered; // Last argument of setDaemons().
+    MonotonicTime m_lastDaemonAddedAt;
     std::map<HostId, Limit> m_limits;
-    double m_newsSaved = 0; // Of `newsBurst`, as of `m_newsAt`.
-    MonotonicTime m_newsAt;
+    // Updates that may be sent, as of `m_updateTokensAt`. Invariant: at most `updateBurst`.
+    double m_updateTokens = 0;
+    MonotonicTime m_updateTokensAt;
 };
 
 } // namespace ramphinge
