--- a/ramphinge/limits/limits_test.cpp
+++ b/ramphinge/limits/limits_test.cpp
@@ -1,4 +1,4 @@
-// Tests of fair queueing, early refusal and the retry budget.
+// Tests of fair queueing, early refusal and retry budgets.
 
 #include <deque>
 
@@ -29,19 +29,19 @@
 class LimitsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LimitsTest);
-    CPPUNIT_TEST(serviceFollowsWeightsWhateverIsOffered);
-    CPPUNIT_TEST(idleAccountSavesUpNothingAndGetsItsShareAtOnce);
+    CPPUNIT_TEST(serviceFollowsWeightsRegardlessOfDemand);
+    CPPUNIT_TEST(idleAccountAccumulatesNoCreditAndGetsItsShareAtOnce);
     CPPUNIT_TEST(wrongEstimatesAreCorrected);
     CPPUNIT_TEST(remoteServiceCountsAgainstTheShare);
-    CPPUNIT_TEST(refusesAtOnceWhatCantStartInTime);
+    CPPUNIT_TEST(refusesTicketsThatCantStartInTime);
     CPPUNIT_TEST(queueIsBounded);
     CPPUNIT_TEST(higherPriorityGoesFirstWithinItsAccount);
     CPPUNIT_TEST(expiredTicketsAreNotStarted);
-    CPPUNIT_TEST(reservedPlacesGoToAccountsWithoutABacklog);
-    CPPUNIT_TEST(retriesStayAShareOfRequests);
+    CPPUNIT_TEST(reservedSlotsGoToAccountsWithoutABacklog);
+    CPPUNIT_TEST(retriesAreBoundedByAFractionOfRequests);
     CPPUNIT_TEST(sharedBudgetHoldsOverAllDaemonsInEveryWindow);
-    CPPUNIT_TEST(sharedBudgetCanBeAskedWithoutTaking);
-    CPPUNIT_TEST(sharedBudgetOutlivesLapsedRegistrations);
+    CPPUNIT_TEST(sharedBudgetAllowsWithoutCounting);
+    CPPUNIT_TEST(sharedBudgetKeepsItsPartWhenRegistrationsLapse);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -53,7 +53,7 @@
         Random random(5);
         std::vector<SharedRetryBudget> budgets(daemons, SharedRetryBudget(options, clock.now()));
         std::deque<MonotonicTime> requests;
-        std::deque<MonotonicTime> repeats;
+        std::deque<MonotonicTime> sentRetries;
         for (int i = 0; i < 20'000; ++i) {
             clock.advance(random.exponential(std::chrono::milliseconds(i % 5000 < 500 ? 1 : 10)));
             SharedRetryBudget &budget = budgets[random.below(daemons)];
@@ -61,35 +61,35 @@
             budget.onRequest(clock.now());
             requests.push_back(clock.now());
             while (random.fraction() < 0.7 && budget.take(clock.now()))
-                repeats.push_back(clock.now());
+                sentRetries.push_back(clock.now());
             while (requests.front() < clock.now() - options.window)
                 requests.pop_front();
-            while (!repeats.empty() && repeats.front() < clock.now() - options.window)
-                repeats.pop_front();
-            CPPUNIT_ASSERT(static_cast<double>(repeats.size())
+            while (!sentRetries.empty() && sentRetries.front() < clock.now() - options.window)
+                sentRetries.pop_front();
+            CPPUNIT_ASSERT(static_cast<double>(sentRetries.size())
                            <= options.ratio * static_cast<double>(requests.size()) + options.slack);
         }
-        CPPUNIT_ASSERT(!repeats.empty());
+        CPPUNIT_ASSERT(!sentRetries.empty());
     }
 
-    void sharedBudgetOutlivesLapsedRegistrations()
+    void sharedBudgetKeepsItsPartWhenRegistrationsLapse()
     {
         ManualClock clock;
         SharedRetryBudget budget({ 0, 40, std::chrono::seconds(10) }, clock.now());
         clock.advance(std::chrono::seconds(20));
         budget.setDaemons(10);
-        budget.setDaemons(1); // The store was away.
+        budget.setDaemons(1); // Registrations lapsed while the store was unavailable.
         int taken = 0;
         while (budget.take(clock.now()))
             ++taken;
         CPPUNIT_ASSERT_EQUAL(2, taken);
     }
 
-    void sharedBudgetCanBeAskedWithoutTaking()
+    void sharedBudgetAllowsWithoutCounting()
     {
         ManualClock clock;
         SharedRetryBudget budget({ 0, 2, std::chrono::seconds(10) }, clock.now());
-        CPPUNIT_ASSERT(!budget.allows(clock.now())); // Not known yet how many daemons there are.
+        CPPUNIT_ASSERT(!budget.allows(clock.now())); // It has not run for a window.
         clock.advance(std::chrono::seconds(10));
         CPPUNIT_ASSERT(budget.allows(clock.now()));
         CPPUNIT_ASSERT(budget.allows(clock.now()));
@@ -101,12 +101,12 @@
 
     void setUp() override
     {
-        m_next = 0;
+        m_lastTicket = 0;
         m_queue = FairQueue(unbounded());
         m_queue.setWeights({ { small, Tokens(100) }, { large, Tokens(300) } });
     }
 
-    void serviceFollowsWeightsWhateverIsOffered()
+    void serviceFollowsWeightsRegardlessOfDemand()
     {
         for (int i = 0; i < 4000; ++i)
             offer(small);
@@ -117,7 +117,7 @@
         CPPUNIT_ASSERT(std::abs(served.at(small) - 100) <= 2);
     }
 
-    void idleAccountSavesUpNothingAndGetsItsShareAtOnce()
+    void idleAccountAccumulatesNoCreditAndGetsItsShareAtOnce()
     {
         for (int i = 0; i < 2000; ++i)
             offer(small);
@@ -137,7 +137,7 @@
         std::map<AccountId, std::int64_t> tokens;
         for (int i = 0; i < 600; ++i) {
             const Ticket ticket = *m_queue.pop(m_clock.now());
-            // The small account's answers are four times as long as thought.
+            // The small account's requests cost four times their estimate.
             const Tokens actual(ticket.account == small ? 400 : 100);
             m_queue.settle(ticket.account, ticket.estimate, actual, m_clock.now());
             tokens[ticket.account] += actual.count();
@@ -153,15 +153,15 @@
             offer(small);
             offer(large);
         }
-        // Elsewhere, the large account got 30 requests' worth.
+        // Other daemons served 30 requests of the large account.
         m_queue.addRemoteService(large, Tokens(3000));
         const auto served = serve(10);
         CPPUNIT_ASSERT_EQUAL(10, served.at(small));
     }
 
-    void refusesAtOnceWhatCantStartInTime()
+    void refusesTicketsThatCantStartInTime()
     {
-        // 100 tokens each, 10 served in a second: 1000 tokens/s.
+        // 10 requests of 100 tokens are served in a second: 1000 tokens/s.
         for (int i = 0; i < 10; ++i) {
             offer(small);
             m_clock.advance(std::chrono::milliseconds(100));
@@ -207,7 +207,7 @@
         CPPUNIT_ASSERT_EQUAL(0, m_queue.waiting());
     }
 
-    void reservedPlacesGoToAccountsWithoutABacklog()
+    void reservedSlotsGoToAccountsWithoutABacklog()
     {
         for (int i = 0; i < 3; ++i)
             offer(large);
@@ -223,7 +223,7 @@
         CPPUNIT_ASSERT_EQUAL(0, m_queue.recentAccounts(m_clock.now()));
     }
 
-    void retriesStayAShareOfRequests()
+    void retriesAreBoundedByAFractionOfRequests()
     {
         RetryBudget budget({ 0.1, 10 });
         int retries = 0;
@@ -237,12 +237,12 @@
 private:
     std::optional<Refusal> offer(const AccountId &account, int priority = 0)
     {
-        return m_queue.offer({ TicketNumber(++m_next), account, priority, Tokens(100),
+        return m_queue.offer({ TicketNumber(++m_lastTicket), account, priority, Tokens(100),
                                m_clock.now() + std::chrono::seconds(1) },
                              m_clock.now());
     }
 
-    // Serves `count` requests that cost what was thought.
+    // Serves `count` requests that cost as much as estimated.
     std::map<AccountId, int> serve(int count)
     {
         std::map<AccountId, int> served { { small, 0 }, { large, 0 } };
@@ -256,7 +256,7 @@
 
     ManualClock m_clock;
     FairQueue m_queue { {} };
-    std::int64_t m_next = 0;
+    std::int64_t m_lastTicket = 0;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LimitsTest);
