--- a/ramphinge/limits/server_gate_test.cpp
+++ b/ramphinge/limits/server_gate_test.cpp
@@ -1,4 +1,5 @@
-// Tests of what servers say of themselves: backoffs and the daemons' return from them, departures.
+// Tests of admission by servers' statements: backoffs, how daemons resume after them, and announced
+// shutdowns.
 
 #include "ramphinge/limits/server_gate.h"
 
@@ -23,37 +24,37 @@
     return scaled(std::chrono::seconds(1), seconds);
 }
 
-// What reaches a server at the end of a backoff that many daemons were asked for at one moment,
-// while each of them has a request at all times.
-struct Return
+// Requests that a server gets after a backoff that it asked of many daemons at the same time, if
+// each of them always has a request to send.
+struct ResumeLoad
 {
-    int mostInTenth = 0; // Of a second.
-    Duration complete {}; // Until all daemons take the server for any other.
+    int mostIn100Ms = 0; // Most requests in any 100 ms.
+    Duration resumeTime {}; // From the end of the backoff until the last probe is answered.
 };
 
-Return playReturn(std::size_t daemons, Duration answerTakes)
+ResumeLoad simulateResume(std::size_t daemons, Duration answerDelay)
 {
     std::vector<ServerBackoffs> all(daemons);
     for (std::size_t i = 0; i < daemons; ++i) {
         all[i].setDaemons(DaemonId("d" + std::to_string(i)), daemons);
         all[i].noteRefusal(host, span(3), at(0));
     }
-    Return result;
+    ResumeLoad result;
     std::vector<MonotonicTime> arrivals;
-    std::vector<std::optional<MonotonicTime>> trials(daemons);
+    std::vector<std::optional<MonotonicTime>> probes(daemons);
     for (MonotonicTime now = at(0); now < at(8); now += tick) {
         for (std::size_t i = 0; i < daemons; ++i) {
-            if (trials[i] && now - *trials[i] == answerTakes) {
-                result.complete = now - at(3);
-                CPPUNIT_ASSERT(all[i].noteAnswer(host, *trials[i]) == BackoffChange::Ended);
+            if (probes[i] && now - *probes[i] == answerDelay) {
+                result.resumeTime = now - at(3);
+                CPPUNIT_ASSERT(all[i].noteAnswer(host, *probes[i]) == BackoffChange::Ended);
             }
-            const bool hasReturned = trials[i] && now - *trials[i] >= answerTakes;
-            if (hasReturned || !all[i].admits(host, now))
+            const bool hasResumed = probes[i] && now - *probes[i] >= answerDelay;
+            if (hasResumed || !all[i].admits(host, now))
                 continue;
             CPPUNIT_ASSERT(now >= at(3));
-            CPPUNIT_ASSERT(!trials[i]);
+            CPPUNIT_ASSERT(!probes[i]);
             all[i].take(host, now);
-            trials[i] = now;
+            probes[i] = now;
             arrivals.push_back(now);
         }
     }
@@ -61,7 +62,7 @@
     for (std::size_t first = 0, last = 0; last < arrivals.size(); ++last) {
         while (arrivals[last] - arrivals[first] >= span(0.1))
             ++first;
-        result.mostInTenth = std::max(result.mostInTenth, static_cast<int>(last - first + 1));
+        result.mostIn100Ms = std::max(result.mostIn100Ms, static_cast<int>(last - first + 1));
     }
     return result;
 }
@@ -69,23 +70,23 @@
 class ServerGateTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServerGateTest);
-    CPPUNIT_TEST(nothingIsAdmittedUntilTheEnd);
+    CPPUNIT_TEST(nothingIsAdmittedUntilTheBackoffEnds);
     CPPUNIT_TEST(shorterBackoffDoesNotEndALongerOne);
-    CPPUNIT_TEST(answerToAnEarlierRequestEndsNothing);
-    CPPUNIT_TEST(oneTrialIsSentAfterTheEnd);
-    CPPUNIT_TEST(trialThatIsTurnedAwayBeginsAnotherBackoff);
-    CPPUNIT_TEST(trialWithoutAnAnswerIsRepeated);
-    CPPUNIT_TEST(otherLifeOfTheServerAskedForNothing);
-    CPPUNIT_TEST(backoffOutlivesALapsedEntry);
-    CPPUNIT_TEST(daemonsReturnOneAfterTheOther);
-    CPPUNIT_TEST(gateTellsWhatAnAnswerChanged);
-    CPPUNIT_TEST(serverThatLeavesGetsOrdersAndNoRequests);
-    CPPUNIT_TEST(departureIsToldAFewTimes);
-    CPPUNIT_TEST(departureOutlivesALapsedEntry);
+    CPPUNIT_TEST(answerToAnEarlierRequestDoesNotEndTheBackoff);
+    CPPUNIT_TEST(oneProbeIsSentAfterTheEnd);
+    CPPUNIT_TEST(refusedProbeBeginsAnotherBackoff);
+    CPPUNIT_TEST(unansweredProbeIsRepeated);
+    CPPUNIT_TEST(backoffAppliesToOneIncarnation);
+    CPPUNIT_TEST(backoffSurvivesALapsedRegistration);
+    CPPUNIT_TEST(daemonsResumeAtSpreadTimes);
+    CPPUNIT_TEST(gateReportsWhatAnAnswerChanged);
+    CPPUNIT_TEST(leavingServerGetsOrdersAndNoRequests);
+    CPPUNIT_TEST(departureIsBroadcastThreeTimes);
+    CPPUNIT_TEST(departureSurvivesALapsedRegistration);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void nothingIsAdmittedUntilTheEnd()
+    void nothingIsAdmittedUntilTheBackoffEnds()
     {
         ServerBackoffs backoffs;
         CPPUNIT_ASSERT(backoffs.admits(host, at(0)));
@@ -109,7 +110,7 @@
         CPPUNIT_ASSERT(!backoffs.admits(host, at(5.1)));
     }
 
-    void answerToAnEarlierRequestEndsNothing()
+    void answerToAnEarlierRequestDoesNotEndTheBackoff()
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
@@ -119,7 +120,7 @@
         CPPUNIT_ASSERT(backoffs.states(at(3.2)).empty());
     }
 
-    void oneTrialIsSentAfterTheEnd()
+    void oneProbeIsSentAfterTheEnd()
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
@@ -129,7 +130,7 @@
         CPPUNIT_ASSERT(backoffs.admits(host, at(3.2)));
     }
 
-    void trialThatIsTurnedAwayBeginsAnotherBackoff()
+    void refusedProbeBeginsAnotherBackoff()
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
@@ -139,7 +140,7 @@
         CPPUNIT_ASSERT(backoffs.admits(host, at(4.3)));
     }
 
-    void trialWithoutAnAnswerIsRepeated()
+    void unansweredProbeIsRepeated()
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
@@ -149,7 +150,7 @@
         CPPUNIT_ASSERT(!backoffs.admits(host, at(4.3)));
     }
 
-    void otherLifeOfTheServerAskedForNothing()
+    void backoffAppliesToOneIncarnation()
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(HostId("h@1"), span(1e8), at(0));
@@ -157,38 +158,39 @@
         CPPUNIT_ASSERT(!backoffs.admits(HostId("h@1"), at(1e6)));
     }
 
-    void backoffOutlivesALapsedEntry()
+    void backoffSurvivesALapsedRegistration()
     {
         ServerBackoffs backoffs;
-        const auto isGone = [](const HostId &) { return false; };
-        const auto isThere = [](const HostId &) { return true; };
+        const auto isAbsent = [](const HostId &) { return false; };
+        const auto isPresent = [](const HostId &) { return true; };
         backoffs.noteRefusal(host, span(1e8), at(0));
-        backoffs.forgetOld(isGone, at(1));
-        backoffs.forgetOld(isGone, at(100));
-        backoffs.forgetOld(isThere, at(500));
-        backoffs.forgetOld(isGone, at(900));
+        backoffs.forgetOld(isAbsent, at(1));
+        backoffs.forgetOld(isAbsent, at(100));
+        backoffs.forgetOld(isPresent, at(500));
+        backoffs.forgetOld(isAbsent, at(900));
         CPPUNIT_ASSERT(!backoffs.admits(host, at(901)));
-        backoffs.forgetOld(isGone, at(1600));
+        backoffs.forgetOld(isAbsent, at(1600));
         CPPUNIT_ASSERT(backoffs.admits(host, at(1600)));
         backoffs.noteRefusal(host, span(1), at(2000));
-        backoffs.forgetOld(isThere, at(2040));
+        backoffs.forgetOld(isPresent, at(2040));
         CPPUNIT_ASSERT(backoffs.states(at(2040)).empty());
     }
 
-    // Each daemon has 10 ms of its own: in a tenth of a second ten are due on average.
-    void daemonsReturnOneAfterTheOther()
+    // Guards against a burst of requests when many daemons resume after the same backoff. Delays
+    // spread over 10 ms per daemon, so ten requests are due in 100 ms on average.
+    void daemonsResumeAtSpreadTimes()
     {
         for (const std::size_t daemons : { 1, 6, 71, 200 }) {
-            const Return played = playReturn(daemons, std::chrono::milliseconds(40));
+            const ResumeLoad load = simulateResume(daemons, std::chrono::milliseconds(40));
             const std::string what = std::to_string(daemons)
-                + " daemons, most in 0.1 s: " + std::to_string(played.mostInTenth);
-            CPPUNIT_ASSERT_MESSAGE(what, played.mostInTenth <= 3 * 10);
-            CPPUNIT_ASSERT(played.complete <= std::chrono::milliseconds(10 * daemons + 50));
+                + " daemons, most in 0.1 s: " + std::to_string(load.mostIn100Ms);
+            CPPUNIT_ASSERT_MESSAGE(what, load.mostIn100Ms <= 3 * 10);
+            CPPUNIT_ASSERT(load.resumeTime <= std::chrono::milliseconds(10 * daemons + 50));
         }
-        CPPUNIT_ASSERT(playReturn(420, std::chrono::milliseconds(40)).mostInTenth <= 3 * 21);
+        CPPUNIT_ASSERT(simulateResume(420, std::chrono::milliseconds(40)).mostIn100Ms <= 3 * 21);
     }
 
-    void gateTellsWhatAnAnswerChanged()
+    void gateReportsWhatAnAnswerChanged()
     {
         ServerGate gate;
         ServerStatement refusal;
@@ -212,7 +214,7 @@
         CPPUNIT_ASSERT(gate.admits(host, at(4.2)));
     }
 
-    void serverThatLeavesGetsOrdersAndNoRequests()
+    void leavingServerGetsOrdersAndNoRequests()
     {
         ServerGate gate;
         ServerStatement leaving;
@@ -223,30 +225,30 @@
         CPPUNIT_ASSERT(!gate.admits(host, at(100)));
         CPPUNIT_ASSERT(!gate.mayWrite(host, SendPurpose::Request, at(100)));
         CPPUNIT_ASSERT(gate.mayWrite(host, SendPurpose::Control, at(100)));
-        CPPUNIT_ASSERT(gate.admits(HostId("h@2"), at(100))); // Another life.
+        CPPUNIT_ASSERT(gate.admits(HostId("h@2"), at(100))); // Another incarnation.
     }
 
-    void departureIsToldAFewTimes()
+    void departureIsBroadcastThreeTimes()
     {
         ServerGate gate;
         CPPUNIT_ASSERT(gate.hearLeaving(host));
         CPPUNIT_ASSERT(!gate.hearLeaving(host));
-        for (int telling = 0; telling < 3; ++telling)
+        for (int broadcast = 0; broadcast < 3; ++broadcast)
             CPPUNIT_ASSERT(gate.takeNews(at(0)).leaving == std::vector<HostId> { host });
         CPPUNIT_ASSERT(gate.takeNews(at(0)).empty());
     }
 
-    void departureOutlivesALapsedEntry()
+    void departureSurvivesALapsedRegistration()
     {
         ServerDepartures departures;
-        const auto isGone = [](const HostId &) { return false; };
-        const auto isThere = [](const HostId &) { return true; };
+        const auto isAbsent = [](const HostId &) { return false; };
+        const auto isPresent = [](const HostId &) { return true; };
         departures.note(host);
-        departures.forgetOld(isGone, at(0));
-        departures.forgetOld(isThere, at(500));
-        departures.forgetOld(isGone, at(900));
+        departures.forgetOld(isAbsent, at(0));
+        departures.forgetOld(isPresent, at(500));
+        departures.forgetOld(isAbsent, at(900));
         CPPUNIT_ASSERT(departures.isLeaving(host));
-        departures.forgetOld(isGone, at(1600));
+        departures.forgetOld(isAbsent, at(1600));
         CPPUNIT_ASSERT(!departures.isLeaving(host));
     }
 };
