--- a/ramphinge/limits/server_limits_test.cpp
+++ b/ramphinge/limits/server_limits_test.cpp
@@ -1,4 +1,5 @@
-// Tests of sharing what limited servers accept: over many daemons, by what reaches the servers.
+// Tests that many daemons together keep a server's rate limit, by simulating the requests that
+// reach the server.
 
 #include <deque>
 #include <string>
@@ -15,16 +16,16 @@
 
 constexpr Duration window = std::chrono::seconds(4);
 constexpr Duration step = std::chrono::milliseconds(20);
-constexpr Duration newsDelay = std::chrono::milliseconds(250);
+constexpr Duration updateDelay = std::chrono::milliseconds(250);
 const LimitedServer server { HostId("i-1"), ZoneId("z0") };
 
-// What a server may get in a window.
-double allowedAt(RequestRate rate)
+// Most requests that a server may get in a window.
+double maxRequestsAt(RequestRate rate)
 {
     return 1.5 * rate.perSecond() * toMilliseconds(window) / 1000 + 5;
 }
 
-// Daemons in three zones that have requests for one limited server.
+// Simulates daemons in three zones that send requests to one limited server.
 class LimitedFleet
 {
 public:
@@ -32,75 +33,76 @@
         : m_rate(rate), m_options(options), m_daemons(daemons, ServerLimits(options))
     {
         for (int number = 0; number < daemons; ++number)
-            m_listed.push_back(sharerOf(number));
+            m_registered.push_back(sharerOf(number));
         for (int number = 0; number < daemons; ++number)
-            introduce(number);
+            setDaemonsOf(number);
         clock.advance(std::chrono::seconds(30));
-        // One daemon has had an answer; the others hear of it.
+        // One daemon got an answer with the limit, and broadcasts it.
         m_daemons[0].noteAnswer(server, m_rate, clock.now(), clock.now());
-        exchangeNews();
+        exchangeUpdates();
     }
 
-    // Requests come at `demand` a second, at any daemon, for `length`.
-    void play(Duration length, double demand)
+    // Requests arrive at random daemons for `length`, `demand` per second.
+    void run(Duration length, double demand)
     {
         for (const MonotonicTime end = clock.now() + length; clock.now() < end;) {
             clock.advance(step);
-            if (clock.now() - m_toldAt >= newsDelay)
-                exchangeNews();
-            m_pending += demand * toMilliseconds(step) / 1000;
-            for (; m_pending >= 1; --m_pending)
-                ask(random.below(m_daemons.size()));
+            if (clock.now() - m_exchangedAt >= updateDelay)
+                exchangeUpdates();
+            m_pendingRequests += demand * toMilliseconds(step) / 1000;
+            for (; m_pendingRequests >= 1; --m_pendingRequests)
+                request(random.below(m_daemons.size()));
         }
     }
 
-    // A request comes at each daemon at the same moment.
-    void rush()
+    // One request arrives at each daemon at the same time.
+    void burst()
     {
         for (std::size_t number = 0; number < m_daemons.size(); ++number)
-            ask(number);
+            request(number);
     }
 
-    void ask(std::size_t number)
+    void request(std::size_t number)
     {
         ServerLimits &limits = m_daemons[number];
         if (!limits.admits(server.host, clock.now()))
             return;
-        const bool isTold = !limits.empty();
+        const bool knowsLimit = !limits.empty();
         limits.take(server.host, clock.now());
         arrivals.push_back(clock.now());
-        if (isTold)
-            mostInWindow = std::max(mostInWindow, countInWindow(m_fresh));
-        if (isTold && states)
-            mostStatedInWindow = std::max(mostStatedInWindow, countInWindow(m_freshStated));
-        limits.noteAnswer(server, states ? std::optional<RequestRate>(m_rate) : std::nullopt,
+        if (knowsLimit)
+            maxInWindow = std::max(maxInWindow, countInWindow(m_inWindow));
+        if (knowsLimit && statesLimit)
+            maxStatedInWindow = std::max(maxStatedInWindow, countInWindow(m_statedInWindow));
+        limits.noteAnswer(server, statesLimit ? std::optional<RequestRate>(m_rate) : std::nullopt,
                           clock.now(), clock.now());
     }
 
-    // Processes that start again know the daemons, and of limits what they are told.
+    // Restarts a daemon: it knows the other daemons, and learns of limits only from updates.
     void restart(std::size_t number)
     {
         m_daemons[number] = ServerLimits(m_options);
-        introduce(number);
+        setDaemonsOf(number);
     }
 
-    // The registrations of all but the first `left` have lapsed.
-    void lapseTo(std::size_t left)
+    // Lets the registrations of all but the first `left` daemons lapse.
+    void lapseAllBut(std::size_t left)
     {
-        const std::vector<LimitSharer> listed(m_listed.begin(), m_listed.begin() + left);
+        const std::vector<LimitSharer> registered(m_registered.begin(),
+                                                  m_registered.begin() + left);
         for (std::size_t number = 0; number < m_daemons.size(); ++number)
-            m_daemons[number].setDaemons(m_listed[number], listed, clock.now());
+            m_daemons[number].setDaemons(m_registered[number], registered, clock.now());
     }
 
-    void exchangeNews()
+    void exchangeUpdates()
     {
-        m_toldAt = clock.now();
+        m_exchangedAt = clock.now();
         std::vector<ServerLimitNews> all;
         for (ServerLimits &daemon : m_daemons) {
             for (const ServerLimitNews &news : daemon.takeNews(clock.now()))
                 all.push_back(news);
         }
-        if (!linked)
+        if (!isLinked)
             return;
         for (ServerLimits &daemon : m_daemons) {
             for (const ServerLimitNews &news : all)
@@ -110,11 +112,11 @@
 
     ManualClock clock;
     Random random { 3 };
-    bool linked = true; // Daemons hear of each other.
-    bool states = true; // The server states its limit.
+    bool isLinked = true; // Daemons receive each other's updates.
+    bool statesLimit = true; // The server states its limit in answers.
     std::vector<MonotonicTime> arrivals;
-    std::size_t mostInWindow = 0; // From daemons that had been told of the limit.
-    std::size_t mostStatedInWindow = 0; // Of those that arrived while the limit was stated.
+    std::size_t maxInWindow = 0; // Counts requests of daemons that knew of the limit.
+    std::size_t maxStatedInWindow = 0; // The same, while the server stated its limit.
 
 private:
     static LimitSharer sharerOf(int number)
@@ -122,139 +124,139 @@
         return { DaemonId("d" + std::to_string(number)), ZoneId("z" + std::to_string(number % 3)) };
     }
 
-    // The arrivals of the window that ends now, one at this moment among them.
-    std::size_t countInWindow(std::deque<MonotonicTime> &fresh) const
+    // Adds an arrival now, and returns the number of arrivals in the window that ends now.
+    std::size_t countInWindow(std::deque<MonotonicTime> &inWindow) const
     {
-        fresh.push_back(clock.now());
-        while (fresh.front() < clock.now() - window)
-            fresh.pop_front();
-        return fresh.size();
+        inWindow.push_back(clock.now());
+        while (inWindow.front() < clock.now() - window)
+            inWindow.pop_front();
+        return inWindow.size();
     }
 
-    void introduce(std::size_t number)
+    void setDaemonsOf(std::size_t number)
     {
-        m_daemons[number].setDaemons(m_listed[number], m_listed, clock.now());
+        m_daemons[number].setDaemons(m_registered[number], m_registered, clock.now());
     }
 
     RequestRate m_rate;
     ServerLimitsOptions m_options;
     std::vector<ServerLimits> m_daemons;
-    std::vector<LimitSharer> m_listed;
-    std::deque<MonotonicTime> m_fresh; // Arrivals of the last window.
-    std::deque<MonotonicTime> m_freshStated; // Those while the limit was stated.
-    MonotonicTime m_toldAt;
-    double m_pending = 0;
+    std::vector<LimitSharer> m_registered;
+    std::deque<MonotonicTime> m_inWindow; // Arrivals in the last window.
+    std::deque<MonotonicTime> m_statedInWindow; // Those while the server stated its limit.
+    MonotonicTime m_exchangedAt;
+    double m_pendingRequests = 0;
 };
 
 std::string describe(int daemons, double rate, const LimitedFleet &fleet)
 {
     return std::to_string(daemons) + " daemons, " + std::to_string(rate)
-        + " a second: " + std::to_string(fleet.mostInWindow) + " in a window, "
-        + std::to_string(fleet.mostStatedInWindow) + " of them while it is stated, "
+        + " a second: " + std::to_string(fleet.maxInWindow) + " in a window, "
+        + std::to_string(fleet.maxStatedInWindow) + " of them while it is stated, "
         + std::to_string(fleet.arrivals.size()) + " in all";
 }
 
 class ServerLimitsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServerLimitsTest);
-    CPPUNIT_TEST(sumOverAllDaemonsKeepsTheLimit);
-    CPPUNIT_TEST(rushesAfterIdleTimesKeepTheLimit);
-    CPPUNIT_TEST(restartsBringNoAllowancesAlong);
-    CPPUNIT_TEST(lapsedRegistrationsGiveNobodyMore);
-    CPPUNIT_TEST(limitThatComesAndGoesIsKept);
-    CPPUNIT_TEST(limitIsKeptWithoutNews);
+    CPPUNIT_TEST(allDaemonsTogetherKeepTheLimit);
+    CPPUNIT_TEST(burstsAfterIdleTimesKeepTheLimit);
+    CPPUNIT_TEST(restartsAddNoAllowance);
+    CPPUNIT_TEST(lapsedRegistrationsAddNoAllowance);
+    CPPUNIT_TEST(alternatingLimitIsKept);
+    CPPUNIT_TEST(limitIsKeptWithoutUpdates);
     CPPUNIT_TEST(capacityReturnsByStepsAfterTheEnd);
-    CPPUNIT_TEST(endIsFoundThoughNobodyTellsOfIt);
-    CPPUNIT_TEST(zeroRateIsAskedNowAndThen);
-    CPPUNIT_TEST(halfOfTheSharersAreNear);
-    CPPUNIT_TEST(olderNewsChangesNothing);
-    CPPUNIT_TEST(answerToAnEarlierRequestEndsNothing);
-    CPPUNIT_TEST(newsIsToldAgainWhileTheLimitIsStated);
-    CPPUNIT_TEST(newsOfHundredsOfServersKeepsToItsBytes);
-    CPPUNIT_TEST(changesGoBeforeWhatIsToldAgain);
-    CPPUNIT_TEST(limitOfAServerThatIsGoneIsNotBroughtBackByNews);
-    CPPUNIT_TEST(returnsAreSpreadByTheRate);
+    CPPUNIT_TEST(endIsDetectedWithoutUpdates);
+    CPPUNIT_TEST(zeroRateServerIsProbed);
+    CPPUNIT_TEST(halfOfTheSharersAreInTheServersZone);
+    CPPUNIT_TEST(olderUpdatesAreIgnored);
+    CPPUNIT_TEST(answerToAnEarlierRequestDoesNotEndTheLimit);
+    CPPUNIT_TEST(updatesAreRepeatedWhileTheLimitIsStated);
+    CPPUNIT_TEST(updatesOfHundredsOfServersKeepTheByteRate);
+    CPPUNIT_TEST(changesAreBroadcastBeforeRepeatedUpdates);
+    CPPUNIT_TEST(updatesDontRestoreTheLimitOfAGoneServer);
+    CPPUNIT_TEST(retryDelaysAreSpacedByTheRate);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void sumOverAllDaemonsKeepsTheLimit()
+    void allDaemonsTogetherKeepTheLimit()
     {
         forEachSize([](int daemons, double rate) {
             LimitedFleet fleet(daemons, RequestRate(rate));
-            fleet.play(std::chrono::seconds(40), 3 * rate + daemons);
+            fleet.run(std::chrono::seconds(40), 3 * rate + daemons);
             const std::string what = describe(daemons, rate, fleet);
-            CPPUNIT_ASSERT_MESSAGE(what, fleet.mostInWindow <= allowedAt(RequestRate(rate)));
-            // Callers are refused meanwhile, so the server must not stand idle.
+            CPPUNIT_ASSERT_MESSAGE(what, fleet.maxInWindow <= maxRequestsAt(RequestRate(rate)));
+            // The server's capacity must be used, since callers are refused for it.
             CPPUNIT_ASSERT_MESSAGE(what, fleet.arrivals.size() >= 0.7 * rate * 40);
         });
     }
 
-    void rushesAfterIdleTimesKeepTheLimit()
+    void burstsAfterIdleTimesKeepTheLimit()
     {
         forEachSize([](int daemons, double rate) {
             LimitedFleet fleet(daemons, RequestRate(rate));
-            for (int turn = 0; turn < 12; ++turn) {
-                fleet.play(std::chrono::seconds(1 + 7 * (turn % 3)), 0);
-                for (int again = 0; again < 4; ++again)
-                    fleet.rush();
-                fleet.play(std::chrono::seconds(4), 3 * rate + daemons);
+            for (int cycle = 0; cycle < 12; ++cycle) {
+                fleet.run(std::chrono::seconds(1 + 7 * (cycle % 3)), 0);
+                for (int burstNumber = 0; burstNumber < 4; ++burstNumber)
+                    fleet.burst();
+                fleet.run(std::chrono::seconds(4), 3 * rate + daemons);
             }
             const std::string what = describe(daemons, rate, fleet);
-            CPPUNIT_ASSERT_MESSAGE(what, fleet.mostInWindow <= allowedAt(RequestRate(rate)));
+            CPPUNIT_ASSERT_MESSAGE(what, fleet.maxInWindow <= maxRequestsAt(RequestRate(rate)));
         });
     }
 
-    void restartsBringNoAllowancesAlong()
+    void restartsAddNoAllowance()
     {
         forEachSize([](int daemons, double rate) {
             LimitedFleet fleet(daemons, RequestRate(rate));
             for (int round = 0; round < 80; ++round) {
                 fleet.restart(fleet.random.below(daemons));
-                fleet.exchangeNews();
-                fleet.play(std::chrono::milliseconds(400), 3 * rate + daemons);
+                fleet.exchangeUpdates();
+                fleet.run(std::chrono::milliseconds(400), 3 * rate + daemons);
             }
             const std::string what = describe(daemons, rate, fleet);
-            CPPUNIT_ASSERT_MESSAGE(what, fleet.mostInWindow <= allowedAt(RequestRate(rate)));
+            CPPUNIT_ASSERT_MESSAGE(what, fleet.maxInWindow <= maxRequestsAt(RequestRate(rate)));
         });
     }
 
-    void lapsedRegistrationsGiveNobodyMore()
+    void lapsedRegistrationsAddNoAllowance()
     {
         forEachSize([](int daemons, double rate) {
             LimitedFleet fleet(daemons, RequestRate(rate));
-            fleet.play(std::chrono::seconds(8), 3 * rate + daemons);
-            fleet.lapseTo(1);
-            fleet.play(std::chrono::seconds(12), 3 * rate + daemons);
-            fleet.lapseTo(daemons);
-            fleet.play(std::chrono::seconds(8), 3 * rate + daemons);
+            fleet.run(std::chrono::seconds(8), 3 * rate + daemons);
+            fleet.lapseAllBut(1);
+            fleet.run(std::chrono::seconds(12), 3 * rate + daemons);
+            fleet.lapseAllBut(daemons);
+            fleet.run(std::chrono::seconds(8), 3 * rate + daemons);
             const std::string what = describe(daemons, rate, fleet);
-            CPPUNIT_ASSERT_MESSAGE(what, fleet.mostInWindow <= allowedAt(RequestRate(rate)));
+            CPPUNIT_ASSERT_MESSAGE(what, fleet.maxInWindow <= maxRequestsAt(RequestRate(rate)));
         });
     }
 
-    void limitThatComesAndGoesIsKept()
+    void alternatingLimitIsKept()
     {
         forEachSize([](int daemons, double rate) {
             LimitedFleet fleet(daemons, RequestRate(rate));
             for (int second = 0; second < 60; ++second) {
-                fleet.states = second % 2 == 0;
-                fleet.play(std::chrono::seconds(1), 3 * rate + daemons);
+                fleet.statesLimit = second % 2 == 0;
+                fleet.run(std::chrono::seconds(1), 3 * rate + daemons);
             }
-            // It accepts any number while it states no limit, which is half of each window.
+            // While it states no limit, half of each window, it accepts any number of requests.
             const double allowed = 1.5 * rate * toMilliseconds(window) / 1000 / 2 + 5;
             const std::string what = describe(daemons, rate, fleet);
-            CPPUNIT_ASSERT_MESSAGE(what, fleet.mostStatedInWindow <= allowed);
+            CPPUNIT_ASSERT_MESSAGE(what, fleet.maxStatedInWindow <= allowed);
         });
     }
 
-    void limitIsKeptWithoutNews()
+    void limitIsKeptWithoutUpdates()
     {
         forEachSize([](int daemons, double rate) {
             LimitedFleet fleet(daemons, RequestRate(rate));
-            fleet.linked = false;
-            fleet.play(std::chrono::seconds(60), 3 * rate + daemons);
+            fleet.isLinked = false;
+            fleet.run(std::chrono::seconds(60), 3 * rate + daemons);
             const std::string what = describe(daemons, rate, fleet);
-            CPPUNIT_ASSERT_MESSAGE(what, fleet.mostInWindow <= allowedAt(RequestRate(rate)));
+            CPPUNIT_ASSERT_MESSAGE(what, fleet.maxInWindow <= maxRequestsAt(RequestRate(rate)));
         });
     }
 
@@ -262,12 +264,12 @@
     {
         constexpr double demand = 80;
         LimitedFleet fleet(71, RequestRate(2));
-        fleet.play(std::chrono::seconds(10), demand);
-        fleet.states = false;
+        fleet.run(std::chrono::seconds(10), demand);
+        fleet.statesLimit = false;
         std::vector<std::size_t> bySecond;
         for (int second = 0; second < 12; ++second) {
             const std::size_t before = fleet.arrivals.size();
-            fleet.play(std::chrono::seconds(1), demand);
+            fleet.run(std::chrono::seconds(1), demand);
             bySecond.push_back(fleet.arrivals.size() - before);
         }
         std::string what;
@@ -280,48 +282,48 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(demand, static_cast<double>(bySecond[11]), 2);
     }
 
-    void endIsFoundThoughNobodyTellsOfIt()
+    void endIsDetectedWithoutUpdates()
     {
         LimitedFleet fleet(12, RequestRate(1));
-        fleet.linked = false;
-        fleet.play(std::chrono::seconds(10), 30);
-        fleet.states = false;
-        fleet.play(std::chrono::seconds(90), 30);
+        fleet.isLinked = false;
+        fleet.run(std::chrono::seconds(10), 30);
+        fleet.statesLimit = false;
+        fleet.run(std::chrono::seconds(90), 30);
         const std::size_t before = fleet.arrivals.size();
-        fleet.play(std::chrono::seconds(10), 30);
+        fleet.run(std::chrono::seconds(10), 30);
         CPPUNIT_ASSERT(fleet.arrivals.size() - before > 290);
     }
 
-    void zeroRateIsAskedNowAndThen()
+    void zeroRateServerIsProbed()
     {
         LimitedFleet fleet(6, RequestRate(0));
-        fleet.play(std::chrono::seconds(40), 20);
+        fleet.run(std::chrono::seconds(40), 20);
         CPPUNIT_ASSERT(fleet.arrivals.size() >= 5);
-        CPPUNIT_ASSERT(fleet.mostInWindow <= 5);
+        CPPUNIT_ASSERT(fleet.maxInWindow <= 5);
     }
 
-    void halfOfTheSharersAreNear()
+    void halfOfTheSharersAreInTheServersZone()
     {
-        std::vector<LimitSharer> listed;
+        std::vector<LimitSharer> registered;
         for (int number = 0; number < 60; ++number)
-            listed.push_back({ DaemonId("d" + std::to_string(number)),
-                               ZoneId(number < 10 ? server.zone.text() : "far") });
+            registered.push_back({ DaemonId("d" + std::to_string(number)),
+                                   ZoneId(number < 10 ? server.zone.text() : "far") });
         int sharers = 0;
-        int near = 0;
+        int inZone = 0;
         ManualClock clock;
-        for (const LimitSharer &self : listed) {
+        for (const LimitSharer &self : registered) {
             ServerLimits limits;
-            limits.setDaemons(self, listed, clock.now());
+            limits.setDaemons(self, registered, clock.now());
             limits.noteAnswer(server, RequestRate(4), clock.now(), clock.now());
             const bool shares = limits.states(clock.now()).at(0).isSharer;
             sharers += shares ? 1 : 0;
-            near += shares && self.zone == server.zone ? 1 : 0;
+            inZone += shares && self.zone == server.zone ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(8, sharers);
-        CPPUNIT_ASSERT(near >= 4);
+        CPPUNIT_ASSERT(inZone >= 4);
     }
 
-    void olderNewsChangesNothing()
+    void olderUpdatesAreIgnored()
     {
         ManualClock clock;
         ServerLimits limits;
@@ -338,7 +340,7 @@
         CPPUNIT_ASSERT(hear(RequestRate(1), 0) == LimitChange::Stated);
     }
 
-    void answerToAnEarlierRequestEndsNothing()
+    void answerToAnEarlierRequestDoesNotEndTheLimit()
     {
         ManualClock clock;
         ServerLimits limits;
@@ -354,48 +356,49 @@
                        == LimitChange::Ended);
     }
 
-    void newsIsToldAgainWhileTheLimitIsStated()
+    void updatesAreRepeatedWhileTheLimitIsStated()
     {
         ManualClock clock;
         ServerLimits limits;
-        int told = 0;
+        int updates = 0;
         for (int round = 0; round < 80; ++round) { // 20 s.
             if (round < 40)
                 limits.noteAnswer(server, RequestRate(2), clock.now(), clock.now());
-            told += static_cast<int>(limits.takeNews(clock.now()).size());
-            clock.advance(newsDelay);
+            updates += static_cast<int>(limits.takeNews(clock.now()).size());
+            clock.advance(updateDelay);
         }
-        CPPUNIT_ASSERT(told >= 6 && told <= 9);
+        CPPUNIT_ASSERT(updates >= 6 && updates <= 9);
     }
 
-    // The bound: 5 KB a second of a link, at 45 bytes a server.
-    void newsOfHundredsOfServersKeepsToItsBytes()
+    // Guards against updates about many limited servers that exceed their part of a link's
+    // bandwidth: 5 KB/s, at 45 bytes per server.
+    void updatesOfHundredsOfServersKeepTheByteRate()
     {
         constexpr int servers = 760;
         constexpr int rounds = 240; // 60 s.
-        constexpr double mostPerSecond = 5000.0 / 45;
+        constexpr double maxPerSecond = 5000.0 / 45;
         ManualClock clock;
         ServerLimits limits;
-        std::map<HostId, int> told;
+        std::map<HostId, int> updates;
         int sinceBurst = 0;
         for (int round = 0; round < rounds; ++round) {
             for (int number = 0; number < servers; ++number)
                 limits.noteAnswer({ HostId("s" + std::to_string(number)), ZoneId("z") },
                                   RequestRate(2), clock.now(), clock.now());
             const std::vector<ServerLimitNews> news = limits.takeNews(clock.now());
-            for (const ServerLimitNews &one : news)
-                ++told[one.server.host];
+            for (const ServerLimitNews &update : news)
+                ++updates[update.server.host];
             sinceBurst += round < 40 ? 0 : static_cast<int>(news.size());
-            clock.advance(newsDelay);
+            clock.advance(updateDelay);
         }
-        CPPUNIT_ASSERT(sinceBurst <= mostPerSecond * 50);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { servers }, told.size());
-        for (const auto &[host, times] : told)
+        CPPUNIT_ASSERT(sinceBurst <= maxPerSecond * 50);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { servers }, updates.size());
+        for (const auto &[host, times] : updates)
             CPPUNIT_ASSERT(times >= 4);
     }
 
-    // All servers state a limit while earlier ones are told again and again.
-    void changesGoBeforeWhatIsToldAgain()
+    // Guards against new limits that wait behind the repeated updates of hundreds of earlier ones.
+    void changesAreBroadcastBeforeRepeatedUpdates()
     {
         ManualClock clock;
         ServerLimits limits;
@@ -407,28 +410,29 @@
             for (int number = 0; number < 500; ++number)
                 state("old", number);
             limits.takeNews(clock.now());
-            clock.advance(newsDelay);
+            clock.advance(updateDelay);
         }
         for (int number = 0; number < 10; ++number)
             state("new", number);
         int changes = 0;
-        for (const ServerLimitNews &one : limits.takeNews(clock.now()))
-            changes += one.server.host.text().rfind("new", 0) == 0 ? 1 : 0;
+        for (const ServerLimitNews &update : limits.takeNews(clock.now()))
+            changes += update.server.host.text().rfind("new", 0) == 0 ? 1 : 0;
         CPPUNIT_ASSERT_EQUAL(10, changes);
     }
 
-    // Two daemons, linked only shortly before they forget a server that has left the fleet.
-    void limitOfAServerThatIsGoneIsNotBroughtBackByNews()
+    // Guards against two daemons that restore the limit of a server that left the fleet for each
+    // other. It comes about when they are linked only shortly before they drop the limit.
+    void updatesDontRestoreTheLimitOfAGoneServer()
     {
         ManualClock clock;
         ServerLimits daemons[2];
-        const auto isGone = [](const HostId &) { return false; };
+        const auto isAbsent = [](const HostId &) { return false; };
         daemons[0].noteAnswer(server, RequestRate(2), clock.now(), clock.now());
         for (int round = 0; round < 400; ++round) { // 100 s.
-            clock.advance(newsDelay);
+            clock.advance(updateDelay);
             for (int daemon : { 0, 1 }) {
                 if (round % 4 == 2 * daemon)
-                    daemons[daemon].forgetOld(isGone, clock.now());
+                    daemons[daemon].forgetOld(isAbsent, clock.now());
                 if (round < 119)
                     continue;
                 for (const ServerLimitNews &news : daemons[daemon].takeNews(clock.now()))
@@ -438,7 +442,7 @@
         CPPUNIT_ASSERT(daemons[0].empty() && daemons[1].empty());
     }
 
-    void returnsAreSpreadByTheRate()
+    void retryDelaysAreSpacedByTheRate()
     {
         ManualClock clock;
         ReturnSchedule schedule;
@@ -453,11 +457,11 @@
     }
 
 private:
-    template <typename Play> static void forEachSize(Play play)
+    template <typename Run> static void forEachSize(Run run)
     {
         for (const int daemons : { 1, 4, 6, 12, 71, 300, 420 }) {
             for (const double rate : { 0.2, 1.0, 1.6, 10.0, 100.0 })
-                play(daemons, rate);
+                run(daemons, rate);
         }
     }
 };
