--- a/ramphinge/limits/fair_queue.h
+++ b/ramphinge/limits/fair_queue.h
@@ -10,7 +10,7 @@
 //
 //   if (auto refused = queue.offer(ticket, now)) answer(*refused);
 //   while (freeSlots-- > 0) if (auto ticket = queue.pop(now)) start(*ticket);
-//   queue.settle(account, estimate, actual);
+//   queue.settle(account, estimate, actual, now);
 
 #pragma once
 
--- a/ramphinge/limits/return_schedule.h
+++ b/ramphinge/limits/return_schedule.h
@@ -4,7 +4,7 @@
 //   ReturnSchedule schedule(options);
 //   const Duration retryAfter = schedule.next(rate, now);
 //
-// Pure: no clock, no network.
+// Performs no I/O; the caller passes the time.
 
 #pragma once
 
--- a/ramphinge/limits/server_departures.h
+++ b/ramphinge/limits/server_departures.h
@@ -1,7 +1,7 @@
 // Remembers the servers that announced in an answer that they shut down. Such an incarnation gets
 // no more requests, whatever its entry in the store says later.
 //
-// Pure: no clock, no network.
+// Performs no I/O; the caller passes the time.
 
 #pragma once
 
--- a/ramphinge/limits/server_gate.h
+++ b/ramphinge/limits/server_gate.h
@@ -10,7 +10,7 @@
 //           write();
 //   }
 //
-// Pure: no clock, no network.
+// Performs no I/O; the caller passes the time.
 
 #pragma once
 
--- a/ramphinge/limits/server_limits.h
+++ b/ramphinge/limits/server_limits.h
@@ -18,7 +18,7 @@
 //       send();
 //   }
 //
-// Pure: no clock, no network.
+// Performs no I/O; the caller passes the time.
 
 #pragma once
 
