--- a/ramphinge/quarantine/fingerprint.cpp
+++ b/ramphinge/quarantine/fingerprint.cpp
@@ -1,4 +1,4 @@
-// Identities of requests: see fingerprint.h.
+// Fingerprints of requests: see fingerprint.h.
 
 #include "ramphinge/quarantine/fingerprint.h"
 
@@ -12,7 +12,7 @@
 
 constexpr std::size_t fingerprintDigits = 32;
 
-// With its length before it, so that no two identities give one text.
+// Appends the part with a length prefix, so that different identities have different texts.
 void append(std::string &text, std::string_view part)
 {
     text += std::to_string(part.size());
--- a/ramphinge/quarantine/fingerprint.h
+++ b/ramphinge/quarantine/fingerprint.h
@@ -1,5 +1,5 @@
-// What a caller asks for, told apart from the attempt that brings it: two attempts of one request
-// have the same fingerprint, at every daemon of a deployment.
+// Fingerprints of requests, independent of the attempt: all attempts of one request have the same
+// fingerprint at every daemon of a deployment.
 //
 //   const RequestFingerprint fingerprint =
 //       fingerprintOf(linkKey, { "POST", "h.example", "/chat/1", body, account });
@@ -12,22 +12,23 @@
 
 namespace ramphinge {
 
-// 128 bits in hex. Goes into logs, the store and links in place of what it was made of.
+// 128 bits in hex. Logs, the store and messages between daemons carry it instead of the request's
+// contents.
 using RequestFingerprint = Id<struct RequestFingerprintTag>;
 
-// The parts of a request that stay the same when it comes again. Left out on purpose: the id and
-// the deadline of the attempt, the point from which a stream is resumed, headers of the connection.
+// The parts of a request that are the same in each attempt. Excluded: the attempt's id and
+// deadline, the position from which a stream is resumed, and connection headers.
 struct RequestIdentity
 {
     std::string_view method;
     std::string_view host;
     std::string_view target; // Path and query.
-    std::string_view body; // Whole, however its chunks were cut.
+    std::string_view body; // Complete, without the chunk encoding.
     AccountId account; // Empty on public routes.
 };
 
-// HMAC-SHA-256 under `key`, which all daemons share: without it nobody can find a body by trying
-// likely ones, or make a request that has another's fingerprint.
+// HMAC-SHA-256 with `key`, which all daemons share, truncated to 128 bits. Without the key nobody
+// can find a body by trying likely ones, or forge a request with the fingerprint of another.
 RequestFingerprint fingerprintOf(std::string_view key, const RequestIdentity &identity);
 
 } // namespace ramphinge
