--- a/ramphinge/quarantine/crash_report.cpp
+++ b/ramphinge/quarantine/crash_report.cpp
@@ -1,4 +1,4 @@
-// Reports of servers that ended under requests: see crash_report.h.
+// Reports of server crashes: see crash_report.h.
 
 #include "ramphinge/quarantine/crash_report.h"
 
@@ -14,17 +14,17 @@
 
 using Json = nlohmann::json;
 
-// Lives of servers that are told of one request. Held back at a few, it ends no more than were sent
-// it before the word had come to all daemons.
-constexpr std::size_t mostServers = 64;
-// Beyond a document of that size nothing is read: 512 records with some servers each are 200 KB.
-constexpr std::size_t mostBytes = 1024 * 1024;
+// Server incarnations that are reported per request. A request is quarantined after a few crashes,
+// so it crashes only servers that got it before all daemons knew.
+constexpr std::size_t maxServersPerRequest = 64;
+// Larger documents are rejected. 512 records with a few servers each take 200 KB.
+constexpr std::size_t maxReportBytes = 1024 * 1024;
 
 Json namesOf(const std::set<HostId> &hosts)
 {
     Json names = Json::array();
     for (const HostId &host : hosts) {
-        if (names.size() == mostServers)
+        if (names.size() == maxServersPerRequest)
             break;
         names.push_back(host.text());
     }
@@ -38,7 +38,7 @@
     if (names == record.end() || !names->is_array())
         return hosts;
     for (const Json &name : *names) {
-        if (name.is_string() && hosts.size() < mostServers)
+        if (name.is_string() && hosts.size() < maxServersPerRequest)
             hosts.insert(HostId(name.get<std::string>()));
     }
     return hosts;
@@ -84,7 +84,7 @@
     lastSeen = std::max(lastSeen, other.lastSeen);
 }
 
-CrashReport newestOf(const CrashReport &report, std::size_t most, std::size_t mostOfAccount)
+CrashReport newestOf(const CrashReport &report, std::size_t maxRequests, std::size_t maxPerAccount)
 {
     std::vector<const CrashReport::value_type *> newest;
     for (const auto &entry : report)
@@ -94,7 +94,7 @@
     std::map<AccountId, std::size_t> taken;
     CrashReport kept;
     for (const auto *entry : newest) {
-        if (kept.size() < most && taken[entry->second.account]++ < mostOfAccount)
+        if (kept.size() < maxRequests && taken[entry->second.account]++ < maxPerAccount)
             kept.insert(*entry);
     }
     return kept;
@@ -106,7 +106,7 @@
     for (const auto &[fingerprint, record] : report) {
         Json &json = document[fingerprint.text()];
         json = { { "lastSeen", toUnixMilliseconds(record.lastSeen) } };
-        // What is empty is left out: all daemons read each report.
+        // Empty fields are omitted to keep reports small, since all daemons read each of them.
         if (!record.account.empty())
             json["account"] = record.account.text();
         if (!record.route.empty())
@@ -119,19 +119,19 @@
     return document.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Result<CrashReport> parseCrashReport(const std::string &text, std::size_t mostRequests)
+Result<CrashReport> parseCrashReport(const std::string &text, std::size_t maxRequests)
 {
-    if (text.size() > mostBytes)
-        return Error(ErrorKind::InvalidInput, "the report of crashes is too long");
+    if (text.size() > maxReportBytes)
+        return Error(ErrorKind::InvalidInput, "crash report exceeds the size limit");
     const Json document = Json::parse(text, nullptr, false);
     if (!document.is_object())
-        return Error(ErrorKind::InvalidInput, "the report of crashes is not a JSON object");
+        return Error(ErrorKind::InvalidInput, "crash report is not a JSON object");
     CrashReport report;
     for (const auto &[name, json] : document.items()) {
-        if (report.size() == mostRequests)
+        if (report.size() == maxRequests)
             break;
         if (!json.is_object())
-            return Error(ErrorKind::InvalidInput, "a record of crashes is not a JSON object");
+            return Error(ErrorKind::InvalidInput, "crash record is not a JSON object");
         report[RequestFingerprint(name)] = recordOf(json);
     }
     return report;
--- a/ramphinge/quarantine/crash_report.h
+++ b/ramphinge/quarantine/crash_report.h
@@ -1,8 +1,8 @@
-// What is known of the servers that ended under requests, in the form in which daemons tell each
-// other: a set of ends for each request, and the ends among them that don't count any more.
+// Reports that daemons exchange about server crashes: for each request, the servers that crashed
+// while they ran it, and those of the crashes that are excused and no longer count.
 //
-// Both sets only grow, and are united by whoever reads several reports; so it doesn't matter in
-// which order reports arrive, how often, or who has seen the same end.
+// A reader of several reports merges them by set union, so the result doesn't depend on the order
+// of reports, on duplicates, or on how many daemons observed the same crash.
 
 #pragma once
 
@@ -17,45 +17,48 @@
 
 namespace ramphinge {
 
-// One request, and the servers that ended under it.
+// A request, and the servers that crashed while they ran it.
 struct CrashRecord
 {
-    AccountId account; // Whose request it is; empty on public routes.
-    std::string route; // For the operators.
-    std::set<HostId> ended; // Lives of servers: one that came back and ended again is another.
-    // Of `ended`, those that were proved not to be this request's doing, or that an operator
-    // excused.
+    AccountId account; // Empty on public routes.
+    std::string route; // Shown to operators.
+    std::set<HostId> ended; // Server incarnations: a restarted server counts as another one.
+    // Crashes that don't count: the request was shown not to be the cause, or an operator excused
+    // them. May hold servers that are not in `ended`.
     std::set<HostId> excused;
-    WallTime lastSeen; // When it last ended a server, or came again while it was held back.
+    // When a server last crashed while it ran the request; in the list of tried requests, when the
+    // request was granted a trial.
+    WallTime lastSeen;
 
-    // The servers whose ends count, and how many they are.
+    // The servers whose crashes count, and their number.
     std::set<HostId> counting() const;
     int ends() const { return static_cast<int>(counting().size()); }
-    // Whether `other` says nothing else of servers.
+    // Whether `other` has the same servers; other fields are ignored.
     bool tellsTheSame(const CrashRecord &other) const
     {
         return ended == other.ended && excused == other.excused;
     }
-    // Takes over all that `other` knows besides.
+    // Adds what `other` has in addition.
     void unite(const CrashRecord &other);
 };
 
 using CrashReport = std::map<RequestFingerprint, CrashRecord>;
 
-// What a report holds at most: 512 records of 150 bytes are 75 KB of the 160 MB that the smallest
-// machines have. And of one account, so that a caller with very many harmful requests does not push
-// out the others'.
+// Maximum number of requests in a report, over all accounts and of one account. 512 records of 150
+// bytes are 75 KB of the 160 MB that the smallest machines have. The limit per account keeps a
+// caller with many harmful requests from evicting the records of others.
 constexpr std::size_t mostReported = 512;
 constexpr std::size_t mostReportedOfAccount = 64;
 
-// What was seen last of `report`: `most` requests, `mostOfAccount` of one account.
-CrashReport newestOf(const CrashReport &report, std::size_t most, std::size_t mostOfAccount);
+// The most recently seen requests of `report`: at most `maxRequests`, and at most `maxPerAccount`
+// of one account.
+CrashReport newestOf(const CrashReport &report, std::size_t maxRequests, std::size_t maxPerAccount);
 
-// As JSON text, the same for equal reports. Some servers of a request are left out where there are
-// very many, so that a report is bounded by the number of its requests.
+// Returns the report as JSON text, which is the same for equal reports. Writes a limited number of
+// servers per request, so that the size is bounded by the number of requests.
 std::string serializeCrashReport(const CrashReport &report);
 
-// Takes `mostRequests` at most, whatever the text holds. Errors: InvalidInput.
-Result<CrashReport> parseCrashReport(const std::string &text, std::size_t mostRequests);
+// Reads at most `maxRequests` requests, and skips the rest. Errors: InvalidInput.
+Result<CrashReport> parseCrashReport(const std::string &text, std::size_t maxRequests);
 
 } // namespace ramphinge
