--- a/ramphinge/quarantine/quarantine.cpp
+++ b/ramphinge/quarantine/quarantine.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Ends under one request that no other explains so far.
-struct Unexplained
+// Crashes of servers that ran one request and that no other request explains so far.
+struct Suspect
 {
     RequestFingerprint fingerprint;
     std::set<HostId> servers;
@@ -23,33 +23,33 @@
 
 bool Quarantine::holds(const RequestFingerprint &fingerprint) const
 {
-    return !m_united.empty() && blamed().count(fingerprint) > 0;
+    return !m_merged.empty() && quarantinedFingerprints().count(fingerprint) > 0;
 }
 
-// Whoever has the most unexplained ends is blamed for them, again and again. Of several with
-// equally many all are blamed: nothing tells yet which of them it is, and the next end will.
-const std::set<RequestFingerprint> &Quarantine::blamed() const
+// Repeatedly attributes crashes to the request with the most unexplained ones. Of several
+// with equally many, all are quarantined: only a further crash can show which one is the cause.
+const std::set<RequestFingerprint> &Quarantine::quarantinedFingerprints() const
 {
-    if (!std::exchange(m_blamedIsOld, false))
-        return m_blamed;
-    m_blamed.clear();
-    std::vector<Unexplained> suspects;
-    for (const RequestFingerprint &fingerprint : m_repeated)
-        suspects.push_back({ fingerprint, m_united.at(fingerprint).counting() });
+    if (!std::exchange(m_quarantinedIsStale, false))
+        return m_quarantined;
+    m_quarantined.clear();
+    std::vector<Suspect> suspects;
+    for (const RequestFingerprint &fingerprint : m_candidates)
+        suspects.push_back({ fingerprint, m_merged.at(fingerprint).counting() });
     while (true) {
-        std::size_t most = 0;
-        for (const Unexplained &suspect : suspects)
-            most = std::max(most, suspect.servers.size());
-        if (most < static_cast<std::size_t>(m_options.endsToHold))
-            return m_blamed;
+        std::size_t maxCrashes = 0;
+        for (const Suspect &suspect : suspects)
+            maxCrashes = std::max(maxCrashes, suspect.servers.size());
+        if (maxCrashes < static_cast<std::size_t>(m_options.crashesToQuarantine))
+            return m_quarantined;
         std::set<HostId> explained;
-        for (const Unexplained &suspect : suspects) {
-            if (suspect.servers.size() < most)
+        for (const Suspect &suspect : suspects) {
+            if (suspect.servers.size() < maxCrashes)
                 continue;
-            m_blamed.insert(suspect.fingerprint);
+            m_quarantined.insert(suspect.fingerprint);
             explained.insert(suspect.servers.begin(), suspect.servers.end());
         }
-        for (Unexplained &suspect : suspects) {
+        for (Suspect &suspect : suspects) {
             for (const HostId &server : explained)
                 suspect.servers.erase(server);
         }
@@ -59,7 +59,7 @@
 bool Quarantine::noteEnd(const SuspectRequest &request, const HostId &server, MonotonicTime now,
                          WallTime wallNow)
 {
-    const bool wasHeld = holds(request.fingerprint);
+    const bool wasQuarantined = holds(request.fingerprint);
     if (m_own.count(request.fingerprint) == 0)
         makeRoom(request.account);
     CrashRecord &record = m_own[request.fingerprint];
@@ -67,68 +67,68 @@
     record.route = request.route;
     record.ended.insert(server);
     record.lastSeen = wallNow;
-    m_ownSeen[request.fingerprint] = now;
+    m_ownSeenAt[request.fingerprint] = now;
     m_ownAddedVersion = ++m_ownVersion;
-    unite(request.fingerprint);
-    if (isProved(request.fingerprint, now))
+    updateMerged(request.fingerprint);
+    if (wasRecentlyAnswered(request.fingerprint, now))
         excuse(request.fingerprint, now);
-    return !wasHeld && holds(request.fingerprint);
+    return !wasQuarantined && holds(request.fingerprint);
 }
 
 bool Quarantine::noteAnswered(const RequestFingerprint &fingerprint, MonotonicTime now)
 {
-    if (m_answered.size() < m_options.mostAnswers || m_answered.count(fingerprint) > 0)
-        m_answered[fingerprint] = now;
+    if (m_answeredAt.size() < m_options.maxAnswers || m_answeredAt.count(fingerprint) > 0)
+        m_answeredAt[fingerprint] = now;
     return excuse(fingerprint, now);
 }
 
-bool Quarantine::isProved(const RequestFingerprint &fingerprint, MonotonicTime now) const
+bool Quarantine::wasRecentlyAnswered(const RequestFingerprint &fingerprint, MonotonicTime now) const
 {
-    const auto answered = m_answered.find(fingerprint);
-    return answered != m_answered.end() && now - answered->second < m_options.answerProves;
+    const auto answered = m_answeredAt.find(fingerprint);
+    return answered != m_answeredAt.end() && now - answered->second < m_options.answerExcuseWindow;
 }
 
-void Quarantine::noteTeller(const RequestFingerprint &fingerprint, const CrashReportSource &source,
-                            bool tells)
+void Quarantine::setReporter(const RequestFingerprint &fingerprint, const CrashReportSource &source,
+                             bool isReporting)
 {
-    std::set<CrashReportSource> &tellers = m_tellers[fingerprint];
-    if (tells)
-        tellers.insert(source);
+    std::set<CrashReportSource> &reporters = m_reporters[fingerprint];
+    if (isReporting)
+        reporters.insert(source);
     else
-        tellers.erase(source);
-    if (tellers.empty())
-        m_tellers.erase(fingerprint);
+        reporters.erase(source);
+    if (reporters.empty())
+        m_reporters.erase(fingerprint);
 }
 
-// All ends that are known now; false if none counts.
+// Excuses all crashes of the request that are known now; false if there are none that count.
 bool Quarantine::excuse(const RequestFingerprint &fingerprint, MonotonicTime now)
 {
-    const auto known = m_united.find(fingerprint);
-    if (known == m_united.end())
+    const auto known = m_merged.find(fingerprint);
+    if (known == m_merged.end())
         return false;
-    if (m_tellers.count(fingerprint) > 0) {
+    if (m_reporters.count(fingerprint) > 0) {
         CrashRecord record = known->second;
         record.excused.insert(record.ended.begin(), record.ended.end());
         record.ended.clear();
         if (m_own.count(fingerprint) == 0)
             makeRoom(record.account);
         m_own[fingerprint] = std::move(record);
-        m_ownSeen[fingerprint] = now;
-    } else { // Who else reads this daemon's report forgets them with it.
+        m_ownSeenAt[fingerprint] = now;
+    } else { // Only this daemon reports the crashes, so other daemons drop them with the record.
         m_own.erase(fingerprint);
-        m_ownSeen.erase(fingerprint);
+        m_ownSeenAt.erase(fingerprint);
     }
     ++m_ownVersion;
     if (m_own.count(fingerprint) > 0)
         m_ownAddedVersion = m_ownVersion;
-    unite(fingerprint);
+    updateMerged(fingerprint);
     return true;
 }
 
 void Quarantine::hear(const CrashReportSource &source, CrashReport report, MonotonicTime now)
 {
-    const CrashReport before = std::exchange(m_heard[source], std::move(report));
-    const CrashReport &after = m_heard[source];
+    const CrashReport before = std::exchange(m_reports[source], std::move(report));
+    const CrashReport &after = m_reports[source];
     std::set<RequestFingerprint> changed;
     for (const auto &[fingerprint, record] : before) {
         if (after.count(fingerprint) == 0)
@@ -140,23 +140,23 @@
             changed.insert(fingerprint);
     }
     for (const RequestFingerprint &fingerprint : changed) {
-        noteTeller(fingerprint, source, after.count(fingerprint) > 0);
-        unite(fingerprint);
-        if (isProved(fingerprint, now))
+        setReporter(fingerprint, source, after.count(fingerprint) > 0);
+        updateMerged(fingerprint);
+        if (wasRecentlyAnswered(fingerprint, now))
             excuse(fingerprint, now);
     }
 }
 
 void Quarantine::forget(const CrashReportSource &source)
 {
-    const auto heard = m_heard.find(source);
-    if (heard == m_heard.end())
+    const auto found = m_reports.find(source);
+    if (found == m_reports.end())
         return;
-    const CrashReport report = std::move(heard->second);
-    m_heard.erase(heard);
+    const CrashReport report = std::move(found->second);
+    m_reports.erase(found);
     for (const auto &[fingerprint, record] : report) {
-        noteTeller(fingerprint, source, false);
-        unite(fingerprint);
+        setReporter(fingerprint, source, false);
+        updateMerged(fingerprint);
     }
 }
 
@@ -164,48 +164,49 @@
 {
     for (const auto &[fingerprint, record] : report) {
         m_own[fingerprint].unite(record);
-        m_ownSeen.emplace(fingerprint, now);
-        unite(fingerprint);
+        m_ownSeenAt.emplace(fingerprint, now);
+        updateMerged(fingerprint);
     }
     m_ownAddedVersion = ++m_ownVersion;
 }
 
 void Quarantine::expire(MonotonicTime now)
 {
-    std::vector<RequestFingerprint> old;
-    for (const auto &[fingerprint, seenAt] : m_ownSeen) {
+    std::vector<RequestFingerprint> expired;
+    for (const auto &[fingerprint, seenAt] : m_ownSeenAt) {
         const bool excuses = !m_own[fingerprint].excused.empty();
-        if (now - seenAt >= (excuses ? m_options.excuseLasts : m_options.suspicionLasts))
-            old.push_back(fingerprint);
+        if (now - seenAt >= (excuses ? m_options.excuseRetention : m_options.suspicionRetention))
+            expired.push_back(fingerprint);
     }
-    for (const RequestFingerprint &fingerprint : old)
+    for (const RequestFingerprint &fingerprint : expired)
         drop(fingerprint);
-    eraseIf(m_answered,
-            [&](const auto &entry) { return now - entry.second >= m_options.answerProves; });
+    eraseIf(m_answeredAt,
+            [&](const auto &entry) { return now - entry.second >= m_options.answerExcuseWindow; });
 }
 
 CrashReport Quarantine::held() const
 {
     CrashReport held;
-    for (const RequestFingerprint &fingerprint : blamed())
-        held[fingerprint] = m_united.at(fingerprint);
+    for (const RequestFingerprint &fingerprint : quarantinedFingerprints())
+        held[fingerprint] = m_merged.at(fingerprint);
     return held;
 }
 
-// For one more own record: the oldest one goes, of the same account if that has its share.
+// Makes room for another own record by dropping the oldest one if a limit is reached: the oldest of
+// the account if the account's limit is reached.
 void Quarantine::makeRoom(const AccountId &account)
 {
     const auto ofAccount =
         static_cast<std::size_t>(std::count_if(m_own.begin(), m_own.end(), [&](const auto &entry) {
             return entry.second.account == account;
         }));
-    const bool hasItsShare = ofAccount >= m_options.mostOfAccount;
-    if (!hasItsShare && m_own.size() < m_options.mostRequests)
+    const bool isAccountFull = ofAccount >= m_options.maxRequestsPerAccount;
+    if (!isAccountFull && m_own.size() < m_options.maxRequests)
         return;
     std::optional<RequestFingerprint> oldest;
-    for (const auto &[fingerprint, seenAt] : m_ownSeen) {
-        const bool mayGo = !hasItsShare || m_own[fingerprint].account == account;
-        if (mayGo && (!oldest || seenAt < m_ownSeen[*oldest]))
+    for (const auto &[fingerprint, seenAt] : m_ownSeenAt) {
+        const bool isEvictable = !isAccountFull || m_own[fingerprint].account == account;
+        if (isEvictable && (!oldest || seenAt < m_ownSeenAt[*oldest]))
             oldest = fingerprint;
     }
     if (oldest)
@@ -215,31 +216,31 @@
 void Quarantine::drop(const RequestFingerprint &fingerprint)
 {
     m_own.erase(fingerprint);
-    m_ownSeen.erase(fingerprint);
+    m_ownSeenAt.erase(fingerprint);
     ++m_ownVersion;
-    unite(fingerprint);
+    updateMerged(fingerprint);
 }
 
-void Quarantine::unite(const RequestFingerprint &fingerprint)
+void Quarantine::updateMerged(const RequestFingerprint &fingerprint)
 {
-    CrashRecord united;
+    CrashRecord merged;
     if (const auto own = m_own.find(fingerprint); own != m_own.end())
-        united.unite(own->second);
-    if (const auto tellers = m_tellers.find(fingerprint); tellers != m_tellers.end()) {
-        for (const CrashReportSource &source : tellers->second)
-            united.unite(m_heard.at(source).at(fingerprint));
+        merged.unite(own->second);
+    if (const auto reporters = m_reporters.find(fingerprint); reporters != m_reporters.end()) {
+        for (const CrashReportSource &source : reporters->second)
+            merged.unite(m_reports.at(source).at(fingerprint));
     }
     ++m_version;
-    const int ends = united.ends();
-    const bool wasRepeated = m_repeated.erase(fingerprint) > 0;
-    const bool isRepeated = ends >= m_options.endsToHold;
-    if (isRepeated)
-        m_repeated.insert(fingerprint);
-    m_blamedIsOld = m_blamedIsOld || wasRepeated || isRepeated;
-    if (ends > 0)
-        m_united[fingerprint] = std::move(united);
+    const int crashes = merged.ends();
+    const bool wasCandidate = m_candidates.erase(fingerprint) > 0;
+    const bool isCandidate = crashes >= m_options.crashesToQuarantine;
+    if (isCandidate)
+        m_candidates.insert(fingerprint);
+    m_quarantinedIsStale = m_quarantinedIsStale || wasCandidate || isCandidate;
+    if (crashes > 0)
+        m_merged[fingerprint] = std::move(merged);
     else
-        m_united.erase(fingerprint);
+        m_merged.erase(fingerprint);
 }
 
 } // namespace ramphinge
--- a/ramphinge/quarantine/quarantine.h
+++ b/ramphinge/quarantine/quarantine.h
@@ -1,18 +1,19 @@
-// Holds back requests that crash the servers that run them.
+// Quarantines requests that crash the servers that run them.
 //
-// A server that ends says nothing of which of its requests ended it, so each one that it ran is
-// suspected. The one that did it comes again and ends another; what ran beside it goes on elsewhere
-// and is answered. So a request is held back once `endsToHold` servers have ended under it, at
-// whatever daemons, with no whole answer between: one whole answer proves that it doesn't crash
-// what runs it, and excuses the ends that are known. And an end has one cause: one that a request
-// with more ends explains doesn't count against the others that were there. Without that, requests
-// which many callers ask would be held back for having met two harmful ones.
+// A crash doesn't show which request caused it, so each request that the server ran is suspected.
+// The cause is retried and crashes another server; the other requests are retried elsewhere and are
+// answered. So a request is quarantined once `crashesToQuarantine` servers have crashed while they
+// ran it, as seen by all daemons together, without a complete answer in between. A complete answer
+// shows that the request doesn't crash servers, and excuses the crashes that are known. Each crash
+// is attributed to one cause: if a request with more crashes explains it, it doesn't count against
+// the others that ran on the server. Otherwise, popular requests would be quarantined for running
+// along with two harmful ones.
 //
 //   if (quarantine.holds(fingerprint)) refuse();
-//   quarantine.noteEnd(suspect, server, now, wallNow); // A server ended while it had the request.
-//   quarantine.noteAnswered(fingerprint, now); // A server answered it whole.
-//   publish(quarantine.own()); // Whenever ownVersion() is another.
-//   quarantine.hear(source, report, now); // What others published.
+//   quarantine.noteEnd(suspect, server, now, wallNow); // A server crashed while it ran it.
+//   quarantine.noteAnswered(fingerprint, now); // A server answered it completely.
+//   publish(quarantine.own()); // Whenever ownVersion() has changed.
+//   quarantine.hear(source, report, now); // A report that another daemon published.
 
 #pragma once
 
@@ -23,33 +24,32 @@
 
 namespace ramphinge {
 
-// Where a report comes from: a key of the store.
+// Origin of a report: its key in the store.
 using CrashReportSource = Id<struct CrashReportSourceTag>;
 
 struct QuarantineOptions
 {
-    // Two: an innocent request ends no second server but by bad luck, and each end takes some ten
-    // other requests and a replica for seconds with it.
-    int endsToHold = 2;
-    // What one daemon remembers by itself, and tells the others.
-    std::size_t mostRequests = mostReported;
-    std::size_t mostOfAccount = mostReportedOfAccount;
-    // A request under which one server ended, and that was not seen again: its caller has given up
-    // long since.
-    Duration suspicionLasts = std::chrono::minutes(5);
-    // Longer than anybody may still tell of the ends that are excused: a report of a daemon that is
-    // gone stays in the store for ten minutes.
-    Duration excuseLasts = std::chrono::minutes(15);
-    // Ends that are told so long after a whole answer are excused by it: the news of two ends may
-    // come when the answers that disprove them have just been given. Beyond it a request that was
-    // answered once may have become harmful, with other weights say.
-    Duration answerProves = std::chrono::seconds(10);
-    // Answers that are remembered for that, of 100 bytes each: ten seconds of 200 a second. Beyond
-    // that new ones are not.
-    std::size_t mostAnswers = 2048;
+    // Number of crashes after which a request is quarantined. A harmless request rarely meets a
+    // second crash, and each crash interrupts some ten other requests and a replica for seconds.
+    int crashesToQuarantine = 2;
+    // Requests in this daemon's own report.
+    std::size_t maxRequests = mostReported;
+    std::size_t maxRequestsPerAccount = mostReportedOfAccount;
+    // Retention of an own record after its last crash. By then the caller has given up.
+    Duration suspicionRetention = std::chrono::minutes(5);
+    // Retention of an own record with excused crashes. Must be longer than others may report these
+    // crashes: the report of a daemon that is gone stays in the store for ten minutes.
+    Duration excuseRetention = std::chrono::minutes(15);
+    // A complete answer also excuses crashes that become known within this time after it, since
+    // reports of crashes may arrive just after the answers that disprove them. A longer time would
+    // excuse a request that has become harmful since, for example with other weights.
+    Duration answerExcuseWindow = std::chrono::seconds(10);
+    // Complete answers that are remembered for this, at 100 bytes each: ten seconds at 200 per
+    // second. Further ones are not recorded.
+    std::size_t maxAnswers = 2048;
 };
 
-// A request, as far as reports tell of it.
+// What reports contain about a request.
 struct SuspectRequest
 {
     RequestFingerprint fingerprint;
@@ -63,74 +63,77 @@
 public:
     explicit Quarantine(QuarantineOptions options) : m_options(options) { }
 
-    // Whether nothing at all is suspected: then no request needs a fingerprint.
-    bool empty() const { return m_united.empty(); }
+    // Whether no request is suspected; then no fingerprints need to be computed.
+    bool empty() const { return m_merged.empty(); }
 
-    // Whether the request must not be sent to any server.
+    // Whether the request is quarantined, and must not be sent to any server.
     bool holds(const RequestFingerprint &fingerprint) const;
 
-    // A server ended while it had the request. True if the request is held back now, and was not
-    // before.
+    // Records that the server crashed while it ran the request. True if that puts the request into
+    // quarantine.
     bool noteEnd(const SuspectRequest &request, const HostId &server, MonotonicTime now,
                  WallTime wallNow);
 
-    // A server answered the request whole. True if that excused anything.
+    // Records that a server answered the request completely. True if that excused crashes.
     bool noteAnswered(const RequestFingerprint &fingerprint, MonotonicTime now);
 
-    // Takes the place of what the source told before.
+    // Replaces the source's previous report.
     void hear(const CrashReportSource &source, CrashReport report, MonotonicTime now);
+    // Drops the source's report, if there is one.
     void forget(const CrashReportSource &source);
 
-    // What this daemon published in an earlier life; it goes on from there.
+    // Continues from the report that this daemon's previous process published.
     void adopt(const CrashReport &report, MonotonicTime now);
 
-    // Drops what is too old.
+    // Drops own records and answers that are past their retention.
     void expire(MonotonicTime now);
 
-    // What this daemon has to tell, and a number that changes whenever that does.
+    // The report that this daemon publishes, and a number that changes with it.
     const CrashReport &own() const { return m_own; }
     std::uint64_t ownVersion() const { return m_ownVersion; }
-    // The version with which something was last added to it. What was only taken out since need not
-    // be told at once: most requests that met an end are answered a moment later.
+    // The last own version that added something. Removals need not be published at once: most
+    // requests that a crash interrupted are answered shortly after.
     std::uint64_t ownAddedVersion() const { return m_ownAddedVersion; }
 
-    // Changes whenever anything that is known does, of whomever.
+    // Changes with any change of the own report or another daemon's.
     std::uint64_t version() const { return m_version; }
 
-    // The requests that are held back, with all that is known of them.
+    // The quarantined requests, with the merged records of all reports.
     CrashReport held() const;
-    // How many requests are suspected, the held ones among them.
-    std::size_t suspects() const { return m_united.size(); }
+    // Number of suspected requests, including the quarantined ones.
+    std::size_t suspects() const { return m_merged.size(); }
 
 private:
-    // Whom the ends are put down to, as far as is known now.
-    const std::set<RequestFingerprint> &blamed() const;
-    bool isProved(const RequestFingerprint &fingerprint, MonotonicTime now) const;
+    // The requests to which crashes are attributed; these are quarantined.
+    const std::set<RequestFingerprint> &quarantinedFingerprints() const;
+    bool wasRecentlyAnswered(const RequestFingerprint &fingerprint, MonotonicTime now) const;
     bool excuse(const RequestFingerprint &fingerprint, MonotonicTime now);
-    // Notes that the source tells of the request, or no longer does.
-    void noteTeller(const RequestFingerprint &fingerprint, const CrashReportSource &source,
-                    bool tells);
+    // Records whether the source's report contains the request.
+    void setReporter(const RequestFingerprint &fingerprint, const CrashReportSource &source,
+                     bool isReporting);
     void makeRoom(const AccountId &account);
     void drop(const RequestFingerprint &fingerprint);
-    void unite(const RequestFingerprint &fingerprint);
+    void updateMerged(const RequestFingerprint &fingerprint);
 
     QuarantineOptions m_options;
     CrashReport m_own;
-    std::map<RequestFingerprint, MonotonicTime> m_ownSeen; // Exactly those of m_own; when last.
-    std::map<CrashReportSource, CrashReport> m_heard;
-    // Who of m_heard tells of a request: hundreds of daemons report, and few of the same one.
-    std::map<RequestFingerprint, std::set<CrashReportSource>> m_tellers;
-    // Of m_own and all of m_heard, without records all of whose ends are excused.
-    CrashReport m_united;
-    std::map<RequestFingerprint, MonotonicTime> m_answered; // Lately; when last.
+    // When each own record was last seen. Invariant: the same keys as m_own.
+    std::map<RequestFingerprint, MonotonicTime> m_ownSeenAt;
+    std::map<CrashReportSource, CrashReport> m_reports;
+    // Index of m_reports: the sources whose reports contain a request. Hundreds of daemons report,
+    // but few of them on the same request.
+    std::map<RequestFingerprint, std::set<CrashReportSource>> m_reporters;
+    // The merged records of m_own and m_reports, without those whose crashes are all excused.
+    CrashReport m_merged;
+    std::map<RequestFingerprint, MonotonicTime> m_answeredAt; // When last answered completely.
     std::uint64_t m_ownVersion = 0;
-    std::uint64_t m_ownAddedVersion = 0; // Invariant: not above m_ownVersion.
+    std::uint64_t m_ownAddedVersion = 0; // Invariant: at most m_ownVersion.
     std::uint64_t m_version = 0;
-    // Of m_united, those with enough ends to be blamed. The others, nearly all, are left out of
-    // that: hundreds of daemons tell of thousands of requests that were there when a server ended.
-    std::set<RequestFingerprint> m_repeated;
-    mutable std::set<RequestFingerprint> m_blamed;
-    mutable bool m_blamedIsOld = false; // A record of m_repeated is another since.
+    // The requests of m_merged with enough crashes to be quarantined. The attribution considers
+    // only these, since hundreds of daemons report thousands of requests that a crash interrupted.
+    std::set<RequestFingerprint> m_candidates;
+    mutable std::set<RequestFingerprint> m_quarantined;
+    mutable bool m_quarantinedIsStale = false; // A record of m_candidates has changed since.
 };
 
 } // namespace ramphinge
--- a/ramphinge/quarantine/quarantine_test.cpp
+++ b/ramphinge/quarantine/quarantine_test.cpp
@@ -264,7 +264,8 @@
             m_now += std::chrono::milliseconds(1);
             end(RequestFingerprint("many" + std::to_string(i)), first, "greedy");
         }
-        CPPUNIT_ASSERT_EQUAL(QuarantineOptions().mostOfAccount + 1, m_quarantine.own().size());
+        CPPUNIT_ASSERT_EQUAL(QuarantineOptions().maxRequestsPerAccount + 1,
+                             m_quarantine.own().size());
         CPPUNIT_ASSERT(end(harmful, second, "modest"));
     }
 
