--- a/ramphinge/quarantine/quarantine_test.cpp
+++ b/ramphinge/quarantine/quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Tests of request identities, and of holding back requests that crash servers.
+// Tests of request fingerprints, and of the quarantine of requests that crash servers.
 
 #include <rapidcheck.h>
 
@@ -12,20 +12,20 @@
 class FingerprintTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FingerprintTest);
-    CPPUNIT_TEST(isTheSameForTheSameIdentity);
-    CPPUNIT_TEST(differsInEachPart);
-    CPPUNIT_TEST(differsByKey);
-    CPPUNIT_TEST(doesNotMixNeighbouringParts);
+    CPPUNIT_TEST(isEqualForEqualIdentities);
+    CPPUNIT_TEST(dependsOnEachPart);
+    CPPUNIT_TEST(dependsOnTheKey);
+    CPPUNIT_TEST(separatesNeighbouringParts);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void isTheSameForTheSameIdentity()
+    void isEqualForEqualIdentities()
     {
         CPPUNIT_ASSERT_EQUAL(fingerprintOf("k", identity()), fingerprintOf("k", identity()));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 32 }, fingerprintOf("k", identity()).text().size());
     }
 
-    void differsInEachPart()
+    void dependsOnEachPart()
     {
         const RequestFingerprint original = fingerprintOf("k", identity());
         RequestIdentity other = identity();
@@ -45,12 +45,12 @@
         CPPUNIT_ASSERT(fingerprintOf("k", other) != original);
     }
 
-    void differsByKey()
+    void dependsOnTheKey()
     {
         CPPUNIT_ASSERT(fingerprintOf("k", identity()) != fingerprintOf("l", identity()));
     }
 
-    void doesNotMixNeighbouringParts()
+    void separatesNeighbouringParts()
     {
         CPPUNIT_ASSERT(fingerprintOf("k", { "GET", "ab", "c", "", {} })
                        != fingerprintOf("k", { "GET", "a", "bc", "", {} }));
@@ -78,12 +78,12 @@
     return { fingerprint, AccountId(account), "route" };
 }
 
-// A report that tells of these ends under `harmful`.
-CrashReport ends(const std::set<HostId> &hosts, const std::set<HostId> &excused = {})
+// A report that servers crashed while they ran `harmful`.
+CrashReport crashReport(const std::set<HostId> &servers, const std::set<HostId> &excused = {})
 {
     CrashRecord record;
     record.account = AccountId("school");
-    record.ended = hosts;
+    record.ended = servers;
     record.excused = excused;
     return { { harmful, record } };
 }
@@ -91,165 +91,166 @@
 class QuarantineTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuarantineTest);
-    CPPUNIT_TEST(holdsBackAfterTwoEnds);
-    CPPUNIT_TEST(countsALifeOnceWhoeverSawItEnd);
-    CPPUNIT_TEST(addsUpWhatSeveralDaemonsSaw);
-    CPPUNIT_TEST(wholeAnswerExcusesAllEndsThatAreKnown);
-    CPPUNIT_TEST(endsAfterAWholeAnswerCountAnew);
-    CPPUNIT_TEST(answerProvesAlsoForNewsThatComeLater);
-    CPPUNIT_TEST(answerOfLongAgoProvesNothing);
-    CPPUNIT_TEST(excuseOfOthersCounts);
-    CPPUNIT_TEST(endIsPutDownToTheRequestThatExplainsMost);
-    CPPUNIT_TEST(requestThatMetTwoHarmfulOnesIsLetGo);
-    CPPUNIT_TEST(allAreHeldWhileNothingTellsThemApart);
-    CPPUNIT_TEST(keepsWhatADaemonToldThatIsGone);
-    CPPUNIT_TEST(reportThatVanishesIsForgotten);
-    CPPUNIT_TEST(suspicionEndsInTimeAndHoldingDoesNotByOthersReports);
-    CPPUNIT_TEST(oneAccountDoesNotPushOutAnother);
-    CPPUNIT_TEST(goesOnFromItsEarlierLife);
-    CPPUNIT_TEST(reportIsReadAsItWasWritten);
-    CPPUNIT_TEST(damagedReportsAreRefusedOrReadInPart);
-    CPPUNIT_TEST(keepsTheNewestOfEachAccount);
-    CPPUNIT_TEST(daemonsThatHeardAllAgree);
+    CPPUNIT_TEST(quarantinesAfterTwoCrashes);
+    CPPUNIT_TEST(countsAnIncarnationOnce);
+    CPPUNIT_TEST(mergesCrashesFromSeveralDaemons);
+    CPPUNIT_TEST(completeAnswerExcusesAllKnownCrashes);
+    CPPUNIT_TEST(crashesAfterACompleteAnswerCount);
+    CPPUNIT_TEST(recentAnswerExcusesCrashesReportedLater);
+    CPPUNIT_TEST(oldAnswerExcusesNothing);
+    CPPUNIT_TEST(excusesOfOtherDaemonsCount);
+    CPPUNIT_TEST(crashIsAttributedToTheRequestWithMostCrashes);
+    CPPUNIT_TEST(requestThatRanAlongWithTwoHarmfulOnesIsReleased);
+    CPPUNIT_TEST(allSuspectsWithEqualCrashesAreQuarantined);
+    CPPUNIT_TEST(keepsReportsOfDaemonsThatAreGone);
+    CPPUNIT_TEST(forgottenReportIsDropped);
+    CPPUNIT_TEST(ownSuspicionExpires);
+    CPPUNIT_TEST(oneAccountDoesNotEvictAnother);
+    CPPUNIT_TEST(continuesFromItsPreviousReport);
+    CPPUNIT_TEST(reportSurvivesARoundTrip);
+    CPPUNIT_TEST(malformedReportsAreRejectedOrReadInPart);
+    CPPUNIT_TEST(keepsTheNewestRequestsOfEachAccount);
+    CPPUNIT_TEST(daemonsWithAllReportsAgree);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void holdsBackAfterTwoEnds()
+    void quarantinesAfterTwoCrashes()
     {
         CPPUNIT_ASSERT(m_quarantine.empty());
-        CPPUNIT_ASSERT(!end(harmful, first));
+        CPPUNIT_ASSERT(!crash(harmful, first));
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
-        CPPUNIT_ASSERT(end(harmful, second));
+        CPPUNIT_ASSERT(crash(harmful, second));
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
         CPPUNIT_ASSERT(!m_quarantine.holds(other));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, m_quarantine.held().size());
     }
 
-    void countsALifeOnceWhoeverSawItEnd()
+    void countsAnIncarnationOnce()
     {
-        end(harmful, first);
-        end(harmful, first);
-        m_quarantine.hear(peer, ends({ first }), m_now);
+        crash(harmful, first);
+        crash(harmful, first);
+        m_quarantine.hear(peer, crashReport({ first }), m_now);
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
     }
 
-    void addsUpWhatSeveralDaemonsSaw()
+    void mergesCrashesFromSeveralDaemons()
     {
-        m_quarantine.hear(peer, ends({ first }), m_now);
+        m_quarantine.hear(peer, crashReport({ first }), m_now);
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
-        m_quarantine.hear(otherPeer, ends({ second }), m_now);
+        m_quarantine.hear(otherPeer, crashReport({ second }), m_now);
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
     }
 
-    void wholeAnswerExcusesAllEndsThatAreKnown()
+    void completeAnswerExcusesAllKnownCrashes()
     {
-        m_quarantine.hear(peer, ends({ first }), m_now);
-        end(harmful, second);
+        m_quarantine.hear(peer, crashReport({ first }), m_now);
+        crash(harmful, second);
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
         CPPUNIT_ASSERT(m_quarantine.noteAnswered(harmful, m_now));
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
-        // A third daemon that hears both holds nothing back either.
+        // A third daemon that gets both reports doesn't quarantine the request either.
         Quarantine third { QuarantineOptions() };
-        third.hear(peer, ends({ first, second }), m_now);
+        third.hear(peer, crashReport({ first, second }), m_now);
         third.hear(otherPeer, m_quarantine.own(), m_now);
         CPPUNIT_ASSERT(!third.holds(harmful));
         CPPUNIT_ASSERT(third.empty());
     }
 
-    void endsAfterAWholeAnswerCountAnew()
+    void crashesAfterACompleteAnswerCount()
     {
-        end(harmful, first);
+        crash(harmful, first);
         m_quarantine.noteAnswered(harmful, m_now);
         m_now += std::chrono::seconds(11);
-        end(harmful, second);
+        crash(harmful, second);
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
-        end(harmful, third);
+        crash(harmful, third);
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
     }
 
-    // Two servers that run a request which many ask die together; the answers of the others come
-    // before the news of it.
-    void answerProvesAlsoForNewsThatComeLater()
+    // Guards against the quarantine of a popular request: two servers that run it crash at the same
+    // time, and other servers answer it before the report of the crashes arrives.
+    void recentAnswerExcusesCrashesReportedLater()
     {
         CPPUNIT_ASSERT(!m_quarantine.noteAnswered(harmful, m_now));
         m_now += std::chrono::seconds(2);
-        m_quarantine.hear(peer, ends({ first, second }), m_now);
+        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, m_quarantine.own().at(harmful).excused.size());
     }
 
-    void answerOfLongAgoProvesNothing()
+    void oldAnswerExcusesNothing()
     {
         m_quarantine.noteAnswered(harmful, m_now);
         m_now += std::chrono::seconds(10);
-        m_quarantine.hear(peer, ends({ first, second }), m_now);
+        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
     }
 
-    void excuseOfOthersCounts()
+    void excusesOfOtherDaemonsCount()
     {
-        end(harmful, first);
-        end(harmful, second);
-        m_quarantine.hear(peer, ends({}, { first }), m_now);
+        crash(harmful, first);
+        crash(harmful, second);
+        m_quarantine.hear(peer, crashReport({}, { first }), m_now);
         CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
     }
 
-    void endIsPutDownToTheRequestThatExplainsMost()
+    void crashIsAttributedToTheRequestWithMostCrashes()
     {
         for (const HostId &server : { first, second }) {
-            end(harmful, server);
-            end(other, server); // Was there both times.
+            crash(harmful, server);
+            crash(other, server); // Ran on both servers.
         }
-        end(harmful, third);
+        crash(harmful, third);
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
         CPPUNIT_ASSERT(!m_quarantine.holds(other));
     }
 
-    // As one that many callers ask does before long.
-    void requestThatMetTwoHarmfulOnesIsLetGo()
+    // Guards against a lasting quarantine of a popular request, which sooner or later runs along
+    // with two different harmful ones.
+    void requestThatRanAlongWithTwoHarmfulOnesIsReleased()
     {
         const RequestFingerprint alsoHarmful("f3");
-        end(other, first);
-        end(other, third);
-        CPPUNIT_ASSERT(m_quarantine.holds(other)); // As far as is known.
+        crash(other, first);
+        crash(other, third);
+        CPPUNIT_ASSERT(m_quarantine.holds(other)); // Nothing else explains the crashes yet.
         for (const char *server : { "s1", "a", "b" })
-            end(harmful, HostId(server));
+            crash(harmful, HostId(server));
         for (const char *server : { "s3", "c", "d" })
-            end(alsoHarmful, HostId(server));
+            crash(alsoHarmful, HostId(server));
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
         CPPUNIT_ASSERT(m_quarantine.holds(alsoHarmful));
         CPPUNIT_ASSERT(!m_quarantine.holds(other));
     }
 
-    void allAreHeldWhileNothingTellsThemApart()
+    void allSuspectsWithEqualCrashesAreQuarantined()
     {
         for (const HostId &server : { first, second }) {
-            end(harmful, server);
-            end(other, server);
+            crash(harmful, server);
+            crash(other, server);
         }
         CPPUNIT_ASSERT(m_quarantine.holds(harmful));
         CPPUNIT_ASSERT(m_quarantine.holds(other));
     }
 
-    void keepsWhatADaemonToldThatIsGone()
+    void keepsReportsOfDaemonsThatAreGone()
     {
-        m_quarantine.hear(peer, ends({ first, second }), m_now);
+        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
         m_now += std::chrono::hours(1);
         m_quarantine.expire(m_now);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful)); // For as long as the store keeps the report.
+        CPPUNIT_ASSERT(m_quarantine.holds(harmful)); // Until the store drops the report.
     }
 
-    void reportThatVanishesIsForgotten()
+    void forgottenReportIsDropped()
     {
-        m_quarantine.hear(peer, ends({ first, second }), m_now);
+        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
         m_quarantine.forget(peer);
         m_quarantine.forget(otherPeer);
         CPPUNIT_ASSERT(m_quarantine.empty());
     }
 
-    void suspicionEndsInTimeAndHoldingDoesNotByOthersReports()
+    void ownSuspicionExpires()
     {
-        end(harmful, first);
+        crash(harmful, first);
         const std::uint64_t before = m_quarantine.ownVersion();
         m_now += std::chrono::minutes(5);
         m_quarantine.expire(m_now);
@@ -257,28 +258,28 @@
         CPPUNIT_ASSERT(m_quarantine.ownVersion() != before);
     }
 
-    void oneAccountDoesNotPushOutAnother()
+    void oneAccountDoesNotEvictAnother()
     {
-        end(harmful, first, "modest");
+        crash(harmful, first, "modest");
         for (int i = 0; i < 1000; ++i) {
             m_now += std::chrono::milliseconds(1);
-            end(RequestFingerprint("many" + std::to_string(i)), first, "greedy");
+            crash(RequestFingerprint("many" + std::to_string(i)), first, "greedy");
         }
         CPPUNIT_ASSERT_EQUAL(QuarantineOptions().maxRequestsPerAccount + 1,
                              m_quarantine.own().size());
-        CPPUNIT_ASSERT(end(harmful, second, "modest"));
+        CPPUNIT_ASSERT(crash(harmful, second, "modest"));
     }
 
-    void goesOnFromItsEarlierLife()
+    void continuesFromItsPreviousReport()
     {
-        m_quarantine.adopt(ends({ first }), m_now);
-        CPPUNIT_ASSERT(end(harmful, second));
+        m_quarantine.adopt(crashReport({ first }), m_now);
+        CPPUNIT_ASSERT(crash(harmful, second));
         CPPUNIT_ASSERT_EQUAL(2, m_quarantine.own().at(harmful).ends());
     }
 
-    void reportIsReadAsItWasWritten()
+    void reportSurvivesARoundTrip()
     {
-        CrashReport report = ends({ first, second }, { second });
+        CrashReport report = crashReport({ first, second }, { second });
         report[harmful].route = "a \"route\"";
         report[harmful].lastSeen = fromUnixMilliseconds(17);
         const Result<CrashReport> read = parseCrashReport(serializeCrashReport(report), 10);
@@ -290,20 +291,20 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 17 }, toUnixMilliseconds(record.lastSeen));
     }
 
-    void damagedReportsAreRefusedOrReadInPart()
+    void malformedReportsAreRejectedOrReadInPart()
     {
         for (const char *text : { "", "[", "[]", "3", R"({"f":3})" })
             CPPUNIT_ASSERT(!parseCrashReport(text, 10).ok());
         CPPUNIT_ASSERT(!parseCrashReport(std::string(2 << 20, '['), 10).ok());
-        const Result<CrashReport> odd =
+        const Result<CrashReport> partial =
             parseCrashReport(R"({"f":{"ended":[1,"s",[]],"excused":7,"lastSeen":"x"}})", 10);
-        CPPUNIT_ASSERT(odd.ok());
-        CPPUNIT_ASSERT_EQUAL(1, odd.value().begin()->second.ends());
+        CPPUNIT_ASSERT(partial.ok());
+        CPPUNIT_ASSERT_EQUAL(1, partial.value().begin()->second.ends());
         const Result<CrashReport> many = parseCrashReport(R"({"a":{},"b":{},"c":{}})", 2);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, many.value().size());
     }
 
-    void keepsTheNewestOfEachAccount()
+    void keepsTheNewestRequestsOfEachAccount()
     {
         CrashReport report;
         for (int i = 0; i < 5; ++i) {
@@ -318,15 +319,15 @@
         CPPUNIT_ASSERT(kept.count(RequestFingerprint("m")) == 1);
     }
 
-    // Whatever daemons see and in whatever order their reports arrive: once all have heard the last
-    // report of everybody, they hold back the same.
-    void daemonsThatHeardAllAgree()
+    // Guards against daemons that disagree on what is quarantined. Whatever crashes and answers
+    // they see, and in whatever order reports arrive, they agree once each has all latest reports.
+    void daemonsWithAllReportsAgree()
     {
-        const bool agreed = rc::check("daemons that heard all agree", [] {
+        const bool agreed = rc::check("daemons with all reports agree", [] {
             constexpr int count = 3;
             std::vector<Quarantine> daemons(count, Quarantine { QuarantineOptions() });
             MonotonicTime at;
-            const auto tell = [&](int from, int to) {
+            const auto sendReport = [&](int from, int to) {
                 daemons[to].hear(CrashReportSource(std::to_string(from)), daemons[from].own(), at);
             };
             const int steps = *rc::gen::inRange(0, 30);
@@ -340,18 +341,18 @@
                     daemons[daemon].noteAnswered(fingerprint, at);
                     break;
                 case 1:
-                    tell(daemon, (daemon + 1) % count);
+                    sendReport(daemon, (daemon + 1) % count);
                     break;
                 default:
                     daemons[daemon].noteEnd(request(fingerprint), host, at, WallTime());
                 }
             }
-            // Twice: an answer that proves may excuse what is heard only now.
+            // Two rounds: a recent answer may excuse crashes that arrive in the first one.
             for (int round = 0; round < 2; ++round) {
                 for (int from = 0; from < count; ++from) {
                     for (int to = 0; to < count; ++to) {
                         if (from != to)
-                            tell(from, to);
+                            sendReport(from, to);
                     }
                 }
             }
@@ -365,8 +366,8 @@
     }
 
 private:
-    bool end(const RequestFingerprint &fingerprint, const HostId &host,
-             const std::string &account = "school")
+    bool crash(const RequestFingerprint &fingerprint, const HostId &host,
+               const std::string &account = "school")
     {
         return m_quarantine.noteEnd(request(fingerprint, account), host, m_now, WallTime());
     }
