--- a/ramphinge/formation/load_guard.cpp
+++ b/ramphinge/formation/load_backoff.cpp
@@ -1,19 +1,19 @@
-// Loads that end servers: see load_guard.h.
+// Loads that end servers: see load_backoff.h.
 
-#include "ramphinge/formation/load_guard.h"
+#include "ramphinge/formation/load_backoff.h"
 
 #include <algorithm>
 
 namespace ramphinge {
 
-void LoadGuard::otherEnded(MonotonicTime now)
+void LoadBackoff::otherEnded(MonotonicTime now)
 {
     m_otherEnds.push_back(now);
     while (now - m_otherEnds.front() > m_options.together)
         m_otherEnds.pop_front();
 }
 
-void LoadGuard::ended(const ModelId &model, MonotonicTime now)
+void LoadBackoff::ended(const ModelId &model, MonotonicTime now)
 {
     const bool othersToo = !m_otherEnds.empty() && now - m_otherEnds.back() <= m_options.together;
     if (othersToo)
@@ -28,13 +28,13 @@
     record.mayLoadAt = now + record.wait;
 }
 
-bool LoadGuard::mayLoad(const ModelId &model, MonotonicTime now) const
+bool LoadBackoff::mayLoad(const ModelId &model, MonotonicTime now) const
 {
     const auto found = m_models.find(model);
     return found == m_models.end() || now >= found->second.mayLoadAt;
 }
 
-int LoadGuard::ends(const ModelId &model) const
+int LoadBackoff::ends(const ModelId &model) const
 {
     const auto found = m_models.find(model);
     return found == m_models.end() ? 0 : found->second.ends;
--- a/ramphinge/formation/load_guard.h
+++ b/ramphinge/formation/load_backoff.h
@@ -20,7 +20,7 @@
 
 namespace ramphinge {
 
-struct LoadGuardOptions
+struct LoadBackoffOptions
 {
     // So many servers end under loads of a model, with none that succeeded between, before the next
     // load waits. Three: two servers that fail within a load of 16 s are met by chance where a
@@ -36,10 +36,10 @@
 };
 
 // Not thread-safe: lives on the event loop.
-class LoadGuard
+class LoadBackoff
 {
 public:
-    explicit LoadGuard(LoadGuardOptions options) : m_options(options) { }
+    explicit LoadBackoff(LoadBackoffOptions options) : m_options(options) { }
 
     void succeeded(const ModelId &model) { m_models.erase(model); }
     void ended(const ModelId &model, MonotonicTime now);
@@ -57,7 +57,7 @@
         MonotonicTime mayLoadAt;
     };
 
-    LoadGuardOptions m_options;
+    LoadBackoffOptions m_options;
     std::map<ModelId, Record> m_models; // Of those with ends since the last success.
     std::deque<MonotonicTime> m_otherEnds; // Ascending, within `together`.
 };
--- a/ramphinge/formation/load_guard_test.cpp
+++ b/ramphinge/formation/load_backoff_test.cpp
@@ -1,6 +1,6 @@
 // Loads that end the servers which take them: held back, and let go.
 
-#include "ramphinge/formation/load_guard.h"
+#include "ramphinge/formation/load_backoff.h"
 #include "ramphinge/formation/order_book.h"
 #include "ramphinge/testing/cppunit_main.h"
 
@@ -40,9 +40,9 @@
     return order;
 }
 
-class LoadGuardTest : public CppUnit::TestFixture
+class LoadBackoffTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(LoadGuardTest);
+    CPPUNIT_TEST_SUITE(LoadBackoffTest);
     CPPUNIT_TEST(loadsWaitAfterThreeEnds);
     CPPUNIT_TEST(successLetsThemGo);
     CPPUNIT_TEST(serversThatEndWithOthersCountForNothing);
@@ -53,7 +53,7 @@
 public:
     void loadsWaitAfterThreeEnds()
     {
-        LoadGuard guard { LoadGuardOptions() };
+        LoadBackoff guard { LoadBackoffOptions() };
         for (int i = 0; i < 3; ++i) {
             CPPUNIT_ASSERT(guard.mayLoad(harmful, m_now));
             guard.ended(harmful, m_now);
@@ -71,7 +71,7 @@
 
     void successLetsThemGo()
     {
-        LoadGuard guard { LoadGuardOptions() };
+        LoadBackoff guard { LoadBackoffOptions() };
         for (int i = 0; i < 3; ++i)
             guard.ended(harmful, m_now);
         guard.succeeded(harmful);
@@ -81,7 +81,7 @@
 
     void serversThatEndWithOthersCountForNothing()
     {
-        LoadGuard guard { LoadGuardOptions() };
+        LoadBackoff guard { LoadBackoffOptions() };
         for (int i = 0; i < 10; ++i) {
             guard.otherEnded(m_now);
             guard.ended(harmful, m_now + std::chrono::seconds(1));
@@ -151,6 +151,6 @@
     MonotonicTime m_now { std::chrono::seconds(100) };
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LoadGuardTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LoadBackoffTest);
 
 } // namespace
--- a/ramphinge/formation/order_book.h
+++ b/ramphinge/formation/order_book.h
@@ -16,7 +16,7 @@
 #include <set>
 #include <vector>
 
-#include "ramphinge/formation/load_guard.h"
+#include "ramphinge/formation/load_backoff.h"
 #include "ramphinge/formation/order_channel.h"
 #include "ramphinge/formation/order_ledger.h"
 
@@ -44,7 +44,7 @@
     double keptFree = 0.75;
     // The weight store's rate: starts of loads in any window of this length.
     Duration loadWindow = std::chrono::seconds(5);
-    LoadGuardOptions loadGuard;
+    LoadBackoffOptions loadGuard;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -127,7 +127,7 @@
     bool m_trafficSeen = true;
     std::map<ServerOrder, Entry> m_entries;
     std::vector<Load> m_loading; // In progress, as far as is known.
-    LoadGuard m_guard;
+    LoadBackoff m_guard;
     std::set<HostId> m_present; // At the last look.
     std::deque<MonotonicTime> m_loadStarts; // Ascending, within the window.
     std::map<HostId, MonotonicTime> m_unusable; // Until when.
