--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -737,7 +737,7 @@
         const std::set<HostId> unusable = book.unusable(servers, now);
         CPPUNIT_ASSERT(unusable.count(later) == 1);
         CPPUNIT_ASSERT(unusable.count(other) == 0);
-        CPPUNIT_ASSERT(book.unusable(servers, now + OrderBookOptions().latest).empty());
+        CPPUNIT_ASSERT(book.unusable(servers, now + OrderBookOptions().lateJoinWindow).empty());
     }
 
     void randomDaysWithRestartsBreakNoPromise()
--- a/ramphinge/formation/load_backoff.cpp
+++ b/ramphinge/formation/load_backoff.cpp
@@ -1,4 +1,4 @@
-// Loads that end servers: see load_backoff.h.
+// Backoff of model loads that crash servers: see load_backoff.h.
 
 #include "ramphinge/formation/load_backoff.h"
 
@@ -6,38 +6,39 @@
 
 namespace ramphinge {
 
-void LoadBackoff::otherEnded(MonotonicTime now)
+void LoadBackoff::recordOtherCrash(MonotonicTime now)
 {
-    m_otherEnds.push_back(now);
-    while (now - m_otherEnds.front() > m_options.together)
-        m_otherEnds.pop_front();
+    m_otherCrashes.push_back(now);
+    while (now - m_otherCrashes.front() > m_options.correlationWindow)
+        m_otherCrashes.pop_front();
 }
 
-void LoadBackoff::ended(const ModelId &model, MonotonicTime now)
+void LoadBackoff::recordCrash(const ModelId &model, MonotonicTime now)
 {
-    const bool othersToo = !m_otherEnds.empty() && now - m_otherEnds.back() <= m_options.together;
-    if (othersToo)
+    const bool isCorrelated =
+        !m_otherCrashes.empty() && now - m_otherCrashes.back() <= m_options.correlationWindow;
+    if (isCorrelated)
         return;
     Record &record = m_models[model];
-    ++record.ends;
-    if (record.ends < m_options.endsBorne)
+    ++record.crashes;
+    if (record.crashes < m_options.crashesBeforeBackoff)
         return;
-    record.wait = record.wait == Duration::zero()
-        ? m_options.firstWait
-        : std::min(record.wait * 2, m_options.longestWait);
-    record.mayLoadAt = now + record.wait;
+    record.backoff = record.backoff == Duration::zero()
+        ? m_options.initialBackoff
+        : std::min(record.backoff * 2, m_options.maxBackoff);
+    record.retryAt = now + record.backoff;
 }
 
 bool LoadBackoff::mayLoad(const ModelId &model, MonotonicTime now) const
 {
     const auto found = m_models.find(model);
-    return found == m_models.end() || now >= found->second.mayLoadAt;
+    return found == m_models.end() || now >= found->second.retryAt;
 }
 
-int LoadBackoff::ends(const ModelId &model) const
+int LoadBackoff::crashes(const ModelId &model) const
 {
     const auto found = m_models.find(model);
-    return found == m_models.end() ? 0 : found->second.ends;
+    return found == m_models.end() ? 0 : found->second.crashes;
 }
 
 } // namespace ramphinge
--- a/ramphinge/formation/load_backoff.h
+++ b/ramphinge/formation/load_backoff.h
@@ -1,14 +1,15 @@
-// Holds back loads of a model that ends the servers which load it.
+// Delays further loads of a model whose loads crash the servers that take them.
 //
-// A planner that only sees a server go gives the load to the next one, and so on through the fleet:
-// free servers first, then those that stage a second model while they serve. So ends of servers in
-// the middle of a load count against the model, until a load of it succeeds. Servers that end with
-// others beside them, as with their domain or behind a cut, count for nothing.
+// A planner that only sees a server disappear gives the load to the next one, and so on through the
+// fleet: free servers first, then those that stage a second model while they serve. So servers that
+// disappear during a load count as crashes caused by the model, until a load of it succeeds.
+// Crashes shortly after other servers disappeared, as with the loss of a fabric domain or a network
+// partition, aren't counted.
 //
-//   guard.succeeded(model);
-//   guard.ended(model, now);
-//   guard.otherEnded(now);     // One that loaded nothing.
-//   if (guard.mayLoad(model, now)) ...
+//   backoff.recordSuccess(model);
+//   backoff.recordCrash(model, now);
+//   backoff.recordOtherCrash(now);     // Of a server that loaded nothing.
+//   if (backoff.mayLoad(model, now)) ...
 
 #pragma once
 
@@ -22,17 +23,18 @@
 
 struct LoadBackoffOptions
 {
-    // So many servers end under loads of a model, with none that succeeded between, before the next
-    // load waits. Three: two servers that fail within a load of 16 s are met by chance where a
-    // tenth of the fleet fails in a minute.
-    int endsBorne = 3;
-    // How long the next load waits then; doubles with each further end. A load's time, and what an
-    // operator takes to look.
-    Duration firstWait = std::chrono::seconds(15);
-    Duration longestWait = std::chrono::minutes(10);
-    // Servers that vanish so close together have one cause: entries lapse within a heartbeat of
-    // each other, and a cut shows within a few.
-    Duration together = std::chrono::seconds(3);
+    // Crashes under loads of one model, with no successful load between them, before further loads
+    // are delayed. With 2, chance triggers it: where a tenth of the fleet fails in a minute, two
+    // servers happen to fail within a load of 16 s.
+    int crashesBeforeBackoff = 3;
+    // Delay of the next load; doubles with each further crash. Covers the time of a load, and of an
+    // operator's look at it.
+    Duration initialBackoff = std::chrono::seconds(15);
+    Duration maxBackoff = std::chrono::minutes(10);
+    // Servers that disappear within this time of each other are taken to have a common cause:
+    // entries lapse within a heartbeat of each other, and a partition shows within a few
+    // heartbeats.
+    Duration correlationWindow = std::chrono::seconds(3);
 };
 
 // Not thread-safe: lives on the event loop.
@@ -41,25 +43,25 @@
 public:
     explicit LoadBackoff(LoadBackoffOptions options) : m_options(options) { }
 
-    void succeeded(const ModelId &model) { m_models.erase(model); }
-    void ended(const ModelId &model, MonotonicTime now);
-    void otherEnded(MonotonicTime now);
+    void recordSuccess(const ModelId &model) { m_models.erase(model); }
+    void recordCrash(const ModelId &model, MonotonicTime now);
+    void recordOtherCrash(MonotonicTime now);
 
     bool mayLoad(const ModelId &model, MonotonicTime now) const;
-    // Of servers in the middle of loads of the model, since one succeeded.
-    int ends(const ModelId &model) const;
+    // Crashes during loads of the model since the last one that succeeded.
+    int crashes(const ModelId &model) const;
 
 private:
     struct Record
     {
-        int ends = 0;
-        Duration wait {}; // The last one; zero before any.
-        MonotonicTime mayLoadAt;
+        int crashes = 0;
+        Duration backoff {}; // The last one applied; zero if none was.
+        MonotonicTime retryAt;
     };
 
     LoadBackoffOptions m_options;
-    std::map<ModelId, Record> m_models; // Of those with ends since the last success.
-    std::deque<MonotonicTime> m_otherEnds; // Ascending, within `together`.
+    std::map<ModelId, Record> m_models; // With crashes since the last success.
+    std::deque<MonotonicTime> m_otherCrashes; // Ascending, within `correlationWindow`.
 };
 
 } // namespace ramphinge
--- a/ramphinge/formation/load_backoff_test.cpp
+++ b/ramphinge/formation/load_backoff_test.cpp
@@ -1,4 +1,4 @@
-// Loads that end the servers which take them: held back, and let go.
+// Tests of the backoff of model loads that crash servers.
 
 #include "ramphinge/formation/load_backoff.h"
 #include "ramphinge/formation/order_book.h"
@@ -9,14 +9,14 @@
 namespace {
 
 const ModelId harmful("harmful");
-const ModelId sound("sound");
+const ModelId healthy("sound");
 
 EngineProfile twoModels()
 {
     EngineProfile engine;
     engine.loadsAtOnce = 4;
     engine.loadsPerSecond = 4;
-    for (const ModelId &model : { harmful, sound })
+    for (const ModelId &model : { harmful, healthy })
         engine.models.push_back(
             { model, 1, 1, 1, std::chrono::seconds(10), std::chrono::milliseconds(500) });
     return engine;
@@ -43,68 +43,67 @@
 class LoadBackoffTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LoadBackoffTest);
-    CPPUNIT_TEST(loadsWaitAfterThreeEnds);
-    CPPUNIT_TEST(successLetsThemGo);
-    CPPUNIT_TEST(serversThatEndWithOthersCountForNothing);
-    CPPUNIT_TEST(modelThatEndsWhatLoadsItDoesNotGoThroughTheFleet);
-    CPPUNIT_TEST(modelWhoseLoadsSucceedIsLoadedWhileServersFail);
+    CPPUNIT_TEST(loadsBackOffAfterThreeCrashes);
+    CPPUNIT_TEST(successEndsTheBackoff);
+    CPPUNIT_TEST(correlatedCrashesAreNotCounted);
+    CPPUNIT_TEST(harmfulModelDoesNotCrashTheWholeFleet);
+    CPPUNIT_TEST(healthyModelIsLoadedDespiteOtherCrashes);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void loadsWaitAfterThreeEnds()
+    void loadsBackOffAfterThreeCrashes()
     {
-        LoadBackoff guard { LoadBackoffOptions() };
+        LoadBackoff backoff { LoadBackoffOptions() };
         for (int i = 0; i < 3; ++i) {
-            CPPUNIT_ASSERT(guard.mayLoad(harmful, m_now));
-            guard.ended(harmful, m_now);
+            CPPUNIT_ASSERT(backoff.mayLoad(harmful, m_now));
+            backoff.recordCrash(harmful, m_now);
         }
-        CPPUNIT_ASSERT(!guard.mayLoad(harmful, m_now));
-        CPPUNIT_ASSERT(guard.mayLoad(sound, m_now));
+        CPPUNIT_ASSERT(!backoff.mayLoad(harmful, m_now));
+        CPPUNIT_ASSERT(backoff.mayLoad(healthy, m_now));
         m_now += std::chrono::seconds(15);
-        CPPUNIT_ASSERT(guard.mayLoad(harmful, m_now)); // Tried again ...
-        guard.ended(harmful, m_now);
-        m_now += std::chrono::seconds(29); // ... after twice the time.
-        CPPUNIT_ASSERT(!guard.mayLoad(harmful, m_now));
+        CPPUNIT_ASSERT(backoff.mayLoad(harmful, m_now)); // Retried ...
+        backoff.recordCrash(harmful, m_now);
+        m_now += std::chrono::seconds(29); // ... with twice the backoff.
+        CPPUNIT_ASSERT(!backoff.mayLoad(harmful, m_now));
         m_now += std::chrono::seconds(1);
-        CPPUNIT_ASSERT(guard.mayLoad(harmful, m_now));
+        CPPUNIT_ASSERT(backoff.mayLoad(harmful, m_now));
     }
 
-    void successLetsThemGo()
+    void successEndsTheBackoff()
     {
-        LoadBackoff guard { LoadBackoffOptions() };
+        LoadBackoff backoff { LoadBackoffOptions() };
         for (int i = 0; i < 3; ++i)
-            guard.ended(harmful, m_now);
-        guard.succeeded(harmful);
-        CPPUNIT_ASSERT(guard.mayLoad(harmful, m_now));
-        CPPUNIT_ASSERT_EQUAL(0, guard.ends(harmful));
+            backoff.recordCrash(harmful, m_now);
+        backoff.recordSuccess(harmful);
+        CPPUNIT_ASSERT(backoff.mayLoad(harmful, m_now));
+        CPPUNIT_ASSERT_EQUAL(0, backoff.crashes(harmful));
     }
 
-    void serversThatEndWithOthersCountForNothing()
+    void correlatedCrashesAreNotCounted()
     {
-        LoadBackoff guard { LoadBackoffOptions() };
+        LoadBackoff backoff { LoadBackoffOptions() };
         for (int i = 0; i < 10; ++i) {
-            guard.otherEnded(m_now);
-            guard.ended(harmful, m_now + std::chrono::seconds(1));
+            backoff.recordOtherCrash(m_now);
+            backoff.recordCrash(harmful, m_now + std::chrono::seconds(1));
         }
-        CPPUNIT_ASSERT(guard.mayLoad(harmful, m_now));
+        CPPUNIT_ASSERT(backoff.mayLoad(harmful, m_now));
     }
 
-    // A fleet of 40 servers, each of which ends two seconds after it began to load the model.
-    void modelThatEndsWhatLoadsItDoesNotGoThroughTheFleet()
-    {
-        CPPUNIT_ASSERT(endedInAMinute(harmful) <= 8);
-    }
+    // Guards against one model crashing server after server: each of 40 servers crashes two seconds
+    // after it starts to load it.
+    void harmfulModelDoesNotCrashTheWholeFleet() { CPPUNIT_ASSERT(crashesInAMinute(harmful) <= 8); }
 
-    // Every second one that loads it ends of other causes.
-    void modelWhoseLoadsSucceedIsLoadedWhileServersFail()
+    // Guards against a backoff of a healthy model: every second server that loads it crashes for
+    // another cause.
+    void healthyModelIsLoadedDespiteOtherCrashes()
     {
-        CPPUNIT_ASSERT(endedInAMinute(sound) >= 12);
+        CPPUNIT_ASSERT(crashesInAMinute(healthy) >= 12);
     }
 
 private:
-    // Servers that end in the middle of a load of the model in a minute, of 40 that are all wanted
-    // to load it. Of `sound`, every second load ends well.
-    int endedInAMinute(const ModelId &model)
+    // Servers, of 40 that are all to load the model, that crash within a minute during a load of
+    // it. Of `healthy`, every second load succeeds.
+    int crashesInAMinute(const ModelId &model)
     {
         const EngineProfile engine = twoModels();
         OrderBook book { OrderBookOptions() };
@@ -115,19 +114,19 @@
             servers[HostId(name)] = server(name);
             wanted.push_back(stage(name, model));
         }
-        std::map<HostId, MonotonicTime> endsAt;
-        int ended = 0;
+        std::map<HostId, MonotonicTime> crashAt;
+        int recordCrash = 0;
         int begun = 0;
         for (int second = 0; second < 60; ++second) {
             m_now += std::chrono::seconds(1);
-            for (auto at = endsAt.begin(); at != endsAt.end();) {
+            for (auto at = crashAt.begin(); at != crashAt.end();) {
                 if (at->second > m_now) {
                     ++at;
                     continue;
                 }
                 servers.erase(at->first);
-                ++ended;
-                at = endsAt.erase(at);
+                ++recordCrash;
+                at = crashAt.erase(at);
             }
             book.observe(servers, {}, m_now);
             std::vector<ServerOrder> orders;
@@ -139,13 +138,13 @@
             for (const ServerOrder &order : book.due(orders, engine, m_now)) {
                 book.sent(order, engine, m_now);
                 book.answered(order, OrderAnswer::Begun, m_now);
-                if (model == sound && ++begun % 2 == 0)
+                if (model == healthy && ++begun % 2 == 0)
                     servers[order.host].stagedModels = { model };
                 else
-                    endsAt[order.host] = m_now + std::chrono::seconds(2);
+                    crashAt[order.host] = m_now + std::chrono::seconds(2);
             }
         }
-        return ended;
+        return recordCrash;
     }
 
     MonotonicTime m_now { std::chrono::seconds(100) };
--- a/ramphinge/formation/order_book.cpp
+++ b/ramphinge/formation/order_book.cpp
@@ -1,4 +1,4 @@
-// Orders sent to servers: see order_book.h.
+// Tracking of orders sent to servers: see order_book.h.
 
 #include "ramphinge/formation/order_book.h"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Part of the time of a load that it takes before the first request, as the platform says.
-constexpr double earlyLoadShare = 0.1;
+// The platform's loads take this fraction of their time before the first request.
+constexpr double preTrafficLoadTimeFactor = 0.1;
 
 } // namespace
 
@@ -41,7 +41,7 @@
     return "unknown";
 }
 
-Duration OrderBook::timeOf(const ServerOrder &order, const EngineProfile &engine) const
+Duration OrderBook::expectedTime(const ServerOrder &order, const EngineProfile &engine) const
 {
     const ModelProfile *model = engine.find(order.model);
     if (order.kind == OrderKind::Open)
@@ -50,10 +50,10 @@
         return {};
     if (!order.needsLoad)
         return model->warmTime;
-    // Loads beyond the store's limit at once slow each other down.
-    const double crowding =
+    // Loads beyond the store's limit of concurrent loads slow each other down.
+    const double contention =
         std::max(1.0, static_cast<double>(m_loading.size()) / engine.loadsAtOnce);
-    return scaled(model->loadTime, (m_trafficSeen ? 1.0 : earlyLoadShare) * crowding);
+    return scaled(model->loadTime, (m_trafficSeen ? 1.0 : preTrafficLoadTimeFactor) * contention);
 }
 
 bool OrderBook::isLoading(const HostId &host, const ModelId &model) const
@@ -62,14 +62,15 @@
                        [&](const Load &load) { return load.host == host && load.model == model; });
 }
 
-// Whether the host loads already, for this planner or the one before: an order to stage begins
-// anew.
+// Whether the host is loading already, for this planner or its predecessor: an order to stage would
+// start the load over. False for a load whose own order may have been lost, so that it is sent
+// again.
 bool OrderBook::isStaging(const ServerOrder &order) const
 {
     const bool loads = std::any_of(m_loading.begin(), m_loading.end(),
                                    [&](const Load &load) { return load.host == order.host; });
-    const auto own = m_entries.find(order);
-    const bool mayBeLost = own != m_entries.end() && !own->second.accepted;
+    const auto tracked = m_entries.find(order);
+    const bool mayBeLost = tracked != m_entries.end() && !tracked->second.accepted;
     return loads && !(mayBeLost && isLoading(order.host, order.model));
 }
 
@@ -85,9 +86,9 @@
 {
     for (const PlannedReplica &replica : plan.replicas) {
         if (replica.phase == ReplicaPhase::Ready)
-            m_opened.insert(replica.replica);
+            m_toldToOpen.insert(replica.replica);
     }
-    noteEnds(servers, now);
+    recordLoadOutcomes(servers, now);
     const auto isOver = [&](const Load &load) {
         const auto server = servers.find(load.host);
         return server == servers.end() || server->second.hasStaged(load.model)
@@ -96,25 +97,26 @@
     m_loading.erase(std::remove_if(m_loading.begin(), m_loading.end(), isOver), m_loading.end());
 }
 
-// What became of loads, for the guard: before those that are over are forgotten.
-void OrderBook::noteEnds(const ServerMap &servers, MonotonicTime now)
+// Records successes and crashes of loads for the backoff; call it before finished loads are
+// removed.
+void OrderBook::recordLoadOutcomes(const ServerMap &servers, MonotonicTime now)
 {
-    for (const HostId &host : m_present) {
+    for (const HostId &host : m_presentHosts) {
         const bool loaded = std::any_of(m_loading.begin(), m_loading.end(),
                                         [&](const Load &load) { return load.host == host; });
         if (servers.count(host) == 0 && !loaded)
-            m_guard.otherEnded(now);
+            m_loadBackoff.recordOtherCrash(now);
     }
     for (const Load &load : m_loading) {
         const auto server = servers.find(load.host);
         if (server != servers.end() && server->second.hasStaged(load.model))
-            m_guard.succeeded(load.model);
-        else if (server == servers.end() && m_present.count(load.host) > 0)
-            m_guard.ended(load.model, now);
+            m_loadBackoff.recordSuccess(load.model);
+        else if (server == servers.end() && m_presentHosts.count(load.host) > 0)
+            m_loadBackoff.recordCrash(load.model, now);
     }
-    m_present.clear();
+    m_presentHosts.clear();
     for (const auto &[host, server] : servers)
-        m_present.insert(host);
+        m_presentHosts.insert(host);
 }
 
 bool OrderBook::isDue(const ServerOrder &order, const EngineProfile &engine,
@@ -126,8 +128,8 @@
     const Entry &entry = found->second;
     if (entry.inFlight)
         return false;
-    const Duration work = entry.accepted ? timeOf(order, engine) : Duration::zero();
-    return now >= entry.answeredAt + entry.wait + work;
+    const Duration work = entry.accepted ? expectedTime(order, engine) : Duration::zero();
+    return now >= entry.answeredAt + entry.retryDelay + work;
 }
 
 std::vector<ServerOrder> OrderBook::due(const std::vector<ServerOrder> &wanted,
@@ -140,12 +142,13 @@
             continue;
         if (order.kind == OrderKind::Stage && isStaging(order))
             continue;
-        if (order.needsLoad && !m_guard.mayLoad(order.model, now))
+        if (order.needsLoad && !m_loadBackoff.mayLoad(order.model, now))
             continue;
         if (order.needsLoad && !isLoading(order.host, order.model)) {
-            const int keptFree =
-                order.canWait ? static_cast<int>(engine.loadsAtOnce * m_options.keptFree) : 0;
-            if (order.kind == OrderKind::Stage && loadsLeft <= keptFree)
+            const int reservedLoads = order.canWait
+                ? static_cast<int>(engine.loadsAtOnce * m_options.reservedLoadFraction)
+                : 0;
+            if (order.kind == OrderKind::Stage && loadsLeft <= reservedLoads)
                 continue;
             --loadsLeft;
         }
@@ -154,8 +157,8 @@
     return result;
 }
 
-void OrderBook::noteLoad(const HostId &host, const ModelId &model, const EngineProfile &engine,
-                         MonotonicTime now)
+void OrderBook::addLoad(const HostId &host, const ModelId &model, const EngineProfile &engine,
+                        MonotonicTime now)
 {
     const ModelProfile *profile = engine.find(model);
     const Duration expected = profile == nullptr ? Duration::zero() : profile->loadTime;
@@ -169,7 +172,7 @@
     Entry &entry = m_entries[order];
     entry.inFlight = true;
     if (order.needsLoad && !isLoading(order.host, order.model))
-        noteLoad(order.host, order.model, engine, now);
+        addLoad(order.host, order.model, engine, now);
     while (!m_loadStarts.empty() && now - m_loadStarts.front() > m_options.loadWindow)
         m_loadStarts.pop_front();
 }
@@ -181,7 +184,8 @@
     for (const auto &[order, entry] : m_entries) {
         const PlannedReplica *planned = plan.find(order.replica);
         const bool isReady = planned != nullptr && planned->phase == ReplicaPhase::Ready;
-        if (mayBeCarriedOut(order, entry, now) && (isReady || m_opened.count(order.replica) > 0))
+        if (mayStillBeCarriedOut(order, entry, now)
+            && (isReady || m_toldToOpen.count(order.replica) > 0))
             ledger.unansweredJoins[order.host] = order.replica;
     }
     return ledger;
@@ -192,21 +196,22 @@
 {
     for (const auto &[host, model] : ledger.loads) {
         if (engine.find(model) != nullptr && !isLoading(host, model))
-            noteLoad(host, model, engine, now);
+            addLoad(host, model, engine, now);
     }
     for (const auto &[host, replica] : ledger.unansweredJoins) {
-        noteUnanswered(host, replica, now);
-        m_opened.insert(replica);
+        recordUnansweredJoin(host, replica, now);
+        m_toldToOpen.insert(replica);
     }
     for (const PlannedReplica &replica : plan.replicas) {
         if (replica.phase != ReplicaPhase::Forming)
             continue;
         for (const HostId &host : replica.hosts)
-            noteUnanswered(host, replica.replica, now);
+            recordUnansweredJoin(host, replica.replica, now);
     }
 }
 
-void OrderBook::noteUnanswered(const HostId &host, const ReplicaId &replica, MonotonicTime now)
+void OrderBook::recordUnansweredJoin(const HostId &host, const ReplicaId &replica,
+                                     MonotonicTime now)
 {
     ServerOrder join;
     join.kind = OrderKind::Join;
@@ -216,11 +221,11 @@
 }
 
 // Whether a join that got no answer may still be carried out.
-bool OrderBook::mayBeCarriedOut(const ServerOrder &order, const Entry &entry,
-                                MonotonicTime now) const
+bool OrderBook::mayStillBeCarriedOut(const ServerOrder &order, const Entry &entry,
+                                     MonotonicTime now) const
 {
     return order.kind == OrderKind::Join && entry.unansweredAt
-        && now - *entry.unansweredAt < m_options.latest;
+        && now - *entry.unansweredAt < m_options.lateJoinWindow;
 }
 
 void OrderBook::answered(const ServerOrder &order, OrderAnswer answer, MonotonicTime now)
@@ -232,26 +237,26 @@
     switch (answer) {
     case OrderAnswer::Begun:
     case OrderAnswer::Done:
-        entry.wait = m_options.repeatAccepted;
+        entry.retryDelay = m_options.acceptedRetryDelay;
         return;
     case OrderAnswer::NotNow:
     case OrderAnswer::Withheld:
-        entry.wait = m_options.repeatNotNow;
+        entry.retryDelay = m_options.notNowRetryDelay;
         return;
     case OrderAnswer::Unknown:
-        entry.wait = m_options.repeatUnanswered;
+        entry.retryDelay = m_options.unansweredRetryDelay;
         entry.unansweredAt = now;
         return;
     case OrderAnswer::Superseded:
     case OrderAnswer::Refused:
         m_refused.insert(order.replica);
-        entry.wait = m_options.repeatAccepted;
+        entry.retryDelay = m_options.acceptedRetryDelay;
         return;
     case OrderAnswer::OtherServer:
     case OrderAnswer::NoListener:
     case OrderAnswer::Unreachable:
-        m_unusable[order.host] = now + m_options.unusable;
-        entry.wait = m_options.repeatUnanswered;
+        m_unusable[order.host] = now + m_options.unusableTime;
+        entry.retryDelay = m_options.unansweredRetryDelay;
         if (order.kind == OrderKind::Join)
             m_refused.insert(order.replica);
         return;
@@ -265,19 +270,19 @@
         if (now < until)
             hosts.insert(host);
     }
-    // A repeated join may yet be carried out once more, and bring its server back into a replica
-    // that it has left and whose head may still serve.
-    std::set<ServerName> awaiting;
+    // A join that timed out may still be carried out, even after a retry of it was answered, and
+    // bring its server back into a replica that it has left and whose head may still serve.
+    std::set<ServerName> reachableByJoins;
     for (const auto &[order, entry] : m_entries) {
-        if (!mayBeCarriedOut(order, entry, now) || m_opened.count(order.replica) == 0)
+        if (!mayStillBeCarriedOut(order, entry, now) || m_toldToOpen.count(order.replica) == 0)
             continue;
         hosts.insert(order.host);
-        awaiting.insert(incarnationOf(order.host).name);
+        reachableByJoins.insert(incarnationOf(order.host).name);
     }
-    if (awaiting.empty())
+    if (reachableByJoins.empty())
         return hosts;
     for (const auto &[host, server] : servers) {
-        if (awaiting.count(incarnationOf(host).name) > 0)
+        if (reachableByJoins.count(incarnationOf(host).name) > 0)
             hosts.insert(host);
     }
     return hosts;
@@ -308,12 +313,12 @@
 {
     if (!m_trafficSeen)
         return std::numeric_limits<int>::max();
-    const auto inWindow = static_cast<int>(
+    const auto startedInWindow = static_cast<int>(
         std::count_if(m_loadStarts.begin(), m_loadStarts.end(),
                       [&](MonotonicTime start) { return now - start < m_options.loadWindow; }));
     const double rate = engine.loadsPerSecond * toMilliseconds(m_options.loadWindow) / 1000;
-    const int atOnce = engine.loadsAtOnce - static_cast<int>(m_loading.size());
-    return std::max(0, std::min(static_cast<int>(rate) - inWindow, atOnce));
+    const int concurrentLeft = engine.loadsAtOnce - static_cast<int>(m_loading.size());
+    return std::max(0, std::min(static_cast<int>(rate) - startedInWindow, concurrentLeft));
 }
 
 } // namespace ramphinge
--- a/ramphinge/formation/order_book.h
+++ b/ramphinge/formation/order_book.h
@@ -1,10 +1,10 @@
-// Remembers which orders were sent and what became of them, so that each is sent once, is repeated
-// when it seems lost, and the weight store's rate is kept. Of the present planner only: a new one
-// starts with an empty book, adopts the loads that the last one wrote down, and learns the rest
-// from what the servers report.
+// Tracks which orders were sent and what became of them, so that each is sent once, is retried when
+// it seems lost, and the weight store's rate limit is kept. Covers the orders of the present
+// planner only: a new one starts empty, adopts the pending orders that the last planner stored, and
+// learns the rest from what the servers report.
 //
 //   for (const ServerOrder &order : book.due(ordersFor(plan, input), engine, now)) {
-//       book.sent(order, now);
+//       book.sent(order, engine, now);
 //       ...
 //       book.answered(order, answer, now);
 //   }
@@ -24,27 +24,28 @@
 
 struct OrderBookOptions
 {
-    // An order without an answer is sent again after this long: it may have been lost, or be
-    // carried out seconds later; a repeat does no harm.
-    Duration repeatUnanswered = std::chrono::milliseconds(800);
-    // An order that did not fit the server's state.
-    Duration repeatNotNow = std::chrono::milliseconds(250);
-    // An accepted order whose effect is not seen: beyond the time that it takes.
-    Duration repeatAccepted = std::chrono::milliseconds(2500);
-    // A server that could not be reached, or is another one, gets no new replica for so long.
-    Duration unusable = std::chrono::seconds(4);
-    // A load, and the forming of a replica, may take this many times the expected time, and
-    // `formingSlack` besides.
+    // Retry delay of an order without an answer. It may have been lost, or be carried out seconds
+    // later; a retry does no harm.
+    Duration unansweredRetryDelay = std::chrono::milliseconds(800);
+    // Retry delay of an order that the server's state did not allow.
+    Duration notNowRetryDelay = std::chrono::milliseconds(250);
+    // Retry delay of an accepted order whose effect is not seen, beyond the time that it takes.
+    Duration acceptedRetryDelay = std::chrono::milliseconds(2500);
+    // How long a server that could not be reached, or whose address another server has, gets no new
+    // replica.
+    Duration unusableTime = std::chrono::seconds(4);
+    // A load, and the forming of a replica, has failed after the model's load time times
+    // `formingFactor`, plus `formingSlack`.
     double formingFactor = 2.5;
     Duration formingSlack = std::chrono::seconds(4);
-    // An order that got no answer may be carried out until so long afterwards.
-    Duration latest = std::chrono::milliseconds(12'500);
-    // Part of the loads at once that those which can wait leave free: a load takes long, and a
-    // server that is added while all are taken serves nobody until one ends.
-    double keptFree = 0.75;
-    // The weight store's rate: starts of loads in any window of this length.
+    // How long after its timeout an unanswered join may still be carried out.
+    Duration lateJoinWindow = std::chrono::milliseconds(12'500);
+    // Fraction of the concurrent loads that is kept from loads which can wait: a load takes long,
+    // and a server that is added while all are taken serves nobody until one ends.
+    double reservedLoadFraction = 0.75;
+    // Sliding window over which the weight store's rate of load starts is measured.
     Duration loadWindow = std::chrono::seconds(5);
-    LoadBackoffOptions loadGuard;
+    LoadBackoffOptions loadBackoff;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -52,48 +53,53 @@
 {
 public:
     explicit OrderBook(OrderBookOptions options)
-        : m_options(options), m_guard(options.loadGuard) { }
+        : m_options(options), m_loadBackoff(options.loadBackoff)
+    { }
 
-    // Of `wanted`, those to send now. Loads go in the order of `wanted`, as far as the weight store
-    // bears; part of it is kept from those that can wait. Those of a model that has ended the
-    // servers which loaded it wait.
+    // Those of `wanted` to send now. Loads are taken in the order of `wanted` up to the weight
+    // store's limits, a part of which is kept from those that can wait. Loads of a model that
+    // crashed the servers which loaded it are delayed.
     std::vector<ServerOrder> due(const std::vector<ServerOrder> &wanted,
                                  const EngineProfile &engine, MonotonicTime now) const;
 
     void sent(const ServerOrder &order, const EngineProfile &engine, MonotonicTime now);
     void answered(const ServerOrder &order, OrderAnswer answer, MonotonicTime now);
 
-    // Servers that must not be given to another replica now. Of `servers`, these are also later
-    // lives of servers that a join may yet reach: it is addressed to their name.
+    // Servers that must not be given to another replica now: unreachable ones, and those that an
+    // unanswered join may still reach. A join is addressed to the server's name, so later
+    // incarnations in `servers` are included.
     std::set<HostId> unusable(const ServerMap &servers, MonotonicTime now) const;
 
     // Replicas whose forming was refused, or takes too long.
     std::set<ReplicaId> failed(const ReplicaPlan &plan, const EngineProfile &engine,
                                MonotonicTime now);
 
-    // Loads that may begin now: within the window's rate, and beside those in progress, which each
-    // further one would slow down.
+    // Loads that may begin now, within the window's rate and the limit of concurrent loads: each
+    // load beyond it slows down the others. Unlimited before the first request.
     int loadsAllowed(const EngineProfile &engine, MonotonicTime now) const;
 
-    // Before the first request.
+    // Whether servers that have to load may join a replica: only before the first request.
     bool joinsMayLoad() const { return !m_trafficSeen; }
 
-    // The loads in progress, as far as this planner knows.
+    // The loads in progress that this planner knows of.
     std::map<HostId, ModelId> loading() const;
 
-    // Takes note of what the servers report: a load is over when its model is staged, or when its
-    // server is gone. And of the replicas that may be open.
+    // Updates loads and replicas from what the servers report: a load is over when its model is
+    // staged, its server is gone, or its time is up. Replicas that are Ready in `plan` count as
+    // told to open.
     void observe(const ServerMap &servers, const ReplicaPlan &plan, MonotonicTime now);
 
-    // Before the first request loads are quick and are not counted against the rate.
+    // Before the first request (`seen` false) loads are quick and aren't held to the weight store's
+    // rate.
     void setTrafficSeen(bool seen) { m_trafficSeen = seen; }
 
-    // What is to be written down: loads in progress, and joins without an answer that may yet be
-    // carried out, of replicas that are ready in `plan` or were.
+    // What to store for the next planner: loads in progress, and joins without an answer that may
+    // still be carried out, of replicas that are or were Ready.
     OrderLedger ledger(const ReplicaPlan &plan, MonotonicTime now) const;
 
-    // Takes over what another planner wrote down of its orders, it is not known when: they count as
-    // sent now. And the joins of replicas that are being formed may all be without an answer.
+    // Adopts the pending orders that another planner stored. When they were sent isn't known, so
+    // they count as sent now. The joins of replicas that are still forming are taken to be without
+    // an answer.
     void adopt(const OrderLedger &ledger, const ReplicaPlan &plan, const EngineProfile &engine,
                MonotonicTime now);
 
@@ -102,37 +108,38 @@
     {
         bool inFlight = false;
         bool accepted = false;
-        Duration wait {}; // Until it may be sent again, from the answer.
-        std::optional<MonotonicTime> unansweredAt; // When an answer was last given up on.
+        Duration retryDelay {}; // From the answer until it may be sent again.
+        std::optional<MonotonicTime> unansweredAt; // When it last timed out.
         MonotonicTime answeredAt;
     };
     struct Load
     {
         HostId host;
         ModelId model;
-        MonotonicTime latestEnd; // By then it has failed, if its model is not staged.
+        MonotonicTime latestEnd; // If its model isn't staged by then, it has failed.
     };
 
-    void noteEnds(const ServerMap &servers, MonotonicTime now);
-    void noteUnanswered(const HostId &host, const ReplicaId &replica, MonotonicTime now);
-    bool mayBeCarriedOut(const ServerOrder &order, const Entry &entry, MonotonicTime now) const;
-    void noteLoad(const HostId &host, const ModelId &model, const EngineProfile &engine,
-                  MonotonicTime now);
+    void recordLoadOutcomes(const ServerMap &servers, MonotonicTime now);
+    void recordUnansweredJoin(const HostId &host, const ReplicaId &replica, MonotonicTime now);
+    bool mayStillBeCarriedOut(const ServerOrder &order, const Entry &entry,
+                              MonotonicTime now) const;
+    void addLoad(const HostId &host, const ModelId &model, const EngineProfile &engine,
+                 MonotonicTime now);
     bool isLoading(const HostId &host, const ModelId &model) const;
     bool isStaging(const ServerOrder &order) const;
-    Duration timeOf(const ServerOrder &order, const EngineProfile &engine) const;
+    Duration expectedTime(const ServerOrder &order, const EngineProfile &engine) const;
     bool isDue(const ServerOrder &order, const EngineProfile &engine, MonotonicTime now) const;
 
     OrderBookOptions m_options;
     bool m_trafficSeen = true;
     std::map<ServerOrder, Entry> m_entries;
-    std::vector<Load> m_loading; // In progress, as far as is known.
-    LoadBackoff m_guard;
-    std::set<HostId> m_present; // At the last look.
-    std::deque<MonotonicTime> m_loadStarts; // Ascending, within the window.
+    std::vector<Load> m_loading; // In progress, as far as known.
+    LoadBackoff m_loadBackoff;
+    std::set<HostId> m_presentHosts; // In the view at the last observe().
+    std::deque<MonotonicTime> m_loadStarts; // Ascending, within `loadWindow`.
     std::map<HostId, MonotonicTime> m_unusable; // Until when.
     std::set<ReplicaId> m_refused;
-    std::set<ReplicaId> m_opened; // Told to open, now or before.
+    std::set<ReplicaId> m_toldToOpen; // Told to open at some time.
     std::map<ReplicaId, MonotonicTime> m_formingSince;
 };
 
--- a/ramphinge/formation/order_channel.h
+++ b/ramphinge/formation/order_channel.h
@@ -1,4 +1,4 @@
-// How orders reach upstream servers.
+// The interface over which the planner sends orders to upstream servers and probes them.
 
 #pragma once
 
@@ -7,18 +7,18 @@
 
 namespace ramphinge {
 
-// What a server made of an order.
+// What became of an order.
 enum class OrderAnswer {
-    Begun, // It will be done; may take long.
-    Done, // The state already holds, or the order is carried out.
-    NotNow, // It does not fit the server's state.
-    Superseded, // The server has seen a newer epoch, or another list under the same.
+    Begun, // The server has started to carry it out; may take long.
+    Done, // Carried out, or nothing was left to do.
+    NotNow, // The server's present state doesn't allow it; worth a retry.
+    Superseded, // The server has seen a newer epoch, or other members under the same epoch.
     OtherServer, // Another server has the address now.
-    Refused, // Certainly not carried out, for another reason.
-    NoListener, // Nobody listens at the server's address any more.
-    Unreachable, // No connection was made: the server is gone or cut off. Certainly not sent.
-    Withheld, // Not sent: the server has asked for no requests for now.
-    Unknown, // May be carried out, also much later.
+    Refused, // Not carried out, for another reason.
+    NoListener, // The server's address refuses connections.
+    Unreachable, // No connection was made: the server is gone or partitioned. Not sent.
+    Withheld, // Not sent: the server has asked for no requests at present.
+    Unknown, // No answer: it may be carried out, even seconds later.
 };
 
 const char *toString(OrderAnswer answer);
@@ -28,12 +28,13 @@
 public:
     virtual ~OrderChannel() = default;
 
-    // Sends one order; answers within `timeout`. `fence` grows with each change of planner.
+    // Sends one order and returns within `timeout`. `fence` is the planner's fencing token: it
+    // grows with each change of planner.
     virtual OrderAnswer send(const UpstreamServer &server, const ServerOrder &order, Epoch fence,
                              Duration timeout, Yield yield) = 0;
 
-    // Whether that very server answers within `timeout`. One that has asked for no requests isn't
-    // asked: it answered then.
+    // Probes the server: whether this very incarnation answers within `timeout`. A server that has
+    // asked for no requests isn't probed: it is known to answer.
     virtual bool answers(const UpstreamServer &server, Duration timeout, Yield yield) = 0;
 };
 
--- a/ramphinge/formation/order_ledger.cpp
+++ b/ramphinge/formation/order_ledger.cpp
@@ -1,4 +1,4 @@
-// A planner's orders as a document: see order_ledger.h.
+// JSON encoding of a planner's pending orders: see order_ledger.h.
 
 #include "ramphinge/formation/order_ledger.h"
 
@@ -53,7 +53,8 @@
     if (!document.is_object() || !read(document, loadsField, ledger.loads)
         || !read(document, unansweredJoinsField, ledger.unansweredJoins))
         return Error(ErrorKind::InvalidInput,
-                     "the list of orders in progress lacks its loads or joins: it is damaged");
+                     "the stored pending orders lack their loads or unanswered joins, or are not "
+                     "valid JSON");
     return ledger;
 }
 
--- a/ramphinge/formation/order_ledger.h
+++ b/ramphinge/formation/order_ledger.h
@@ -1,8 +1,9 @@
-// What a planner writes down of its orders, so that the next planner knows what may still happen.
+// The orders that a planner stores for its successor, so that the next planner knows what may still
+// happen.
 //
-// - Loads from the weight store, written before they are ordered: the next planner keeps to the
-//   store's rate without waiting until loads that it knows nothing of would be over.
-// - Joins without an answer, written before their replica is opened: such a join may be carried out
+// - Loads from the weight store, stored before they are ordered: the next planner keeps within the
+//   store's rate without waiting until loads that it can't know of would be over.
+// - Joins without an answer, stored before their replica is opened: such a join may be carried out
 //   seconds later, and bring its server back into a replica that it has left.
 
 #pragma once
@@ -17,8 +18,8 @@
 
 struct OrderLedger
 {
-    std::map<HostId, ModelId> loads; // In progress: which model each server loads.
-    std::map<HostId, ReplicaId> unansweredJoins; // Sent lately to servers of opened replicas.
+    std::map<HostId, ModelId> loads; // In progress: the model that each server loads.
+    std::map<HostId, ReplicaId> unansweredJoins; // To servers of replicas told to open.
 
     friend bool operator==(const OrderLedger &a, const OrderLedger &b)
     {
