--- a/ramphinge/formation/death_watch.cpp
+++ b/ramphinge/formation/death_watch.cpp
@@ -1,4 +1,4 @@
-// Dead servers whose entries stand: see death_watch.h.
+// Detection of dead servers by probes: see death_watch.h.
 
 #include "ramphinge/formation/death_watch.h"
 
@@ -12,10 +12,10 @@
                                            MonotonicTime now)
 {
     eraseIf(m_checkedAt,
-            [&](const auto &entry) { return now - entry.second >= m_options.interval; });
+            [&](const auto &entry) { return now - entry.second >= m_options.checkInterval; });
     if (!m_checkedAt.emplace(replica.replica, now).second)
         return {};
-    dropOld(now);
+    dropExpired(now);
     std::vector<HostId> hosts;
     std::set<ZoneId> zones;
     for (const HostId &host : replica.hosts) {
@@ -25,45 +25,46 @@
         hosts.push_back(host);
         zones.insert(found->second.zone);
     }
-    int witnesses = 0;
+    int referenceServers = 0;
     for (const auto &[host, server] : servers) {
-        // Not of the same domain, which may be lost as a whole; nor a server without one, which
-        // is of a plain service and has nothing to tell.
+        // Reference servers are of another domain, since a domain may be lost as a whole. Servers
+        // without a domain belong to plain services; their answers say nothing here.
         if (server.domain.empty() || server.domain == replica.domain
-            || zones.count(server.zone) == 0 || m_silent.count(host) > 0
-            || witnesses >= m_options.witnesses)
+            || zones.count(server.zone) == 0 || m_unresponsive.count(host) > 0
+            || referenceServers >= m_options.referenceServers)
             continue;
         hosts.push_back(host);
-        ++witnesses;
+        ++referenceServers;
     }
     return hosts;
 }
 
-void DeathWatch::dropOld(MonotonicTime now)
+void DeathWatch::dropExpired(MonotonicTime now)
 {
-    eraseIf(m_silent,
-            [&](const auto &entry) { return now - entry.second.last >= m_options.belief; });
+    eraseIf(m_unresponsive, [&](const auto &entry) {
+        return now - entry.second.last >= m_options.verdictLifetime;
+    });
     eraseIf(m_answeredAt,
-            [&](const auto &entry) { return now - entry.second >= m_options.belief; });
+            [&](const auto &entry) { return now - entry.second >= m_options.verdictLifetime; });
 }
 
 void DeathWatch::answered(const HostId &host, MonotonicTime now)
 {
-    m_silent.erase(host);
+    m_unresponsive.erase(host);
     m_answeredAt[host] = now;
 }
 
 void DeathWatch::silent(const HostId &host, MonotonicTime now)
 {
-    Silence &silence = m_silent[host];
-    if (silence.times == 0 || now - silence.last > m_options.belief)
-        silence = { 0, now, now };
-    ++silence.times;
-    silence.last = now;
+    UnansweredProbes &unanswered = m_unresponsive[host];
+    if (unanswered.consecutive == 0 || now - unanswered.last > m_options.verdictLifetime)
+        unanswered = { 0, now, now };
+    ++unanswered.consecutive;
+    unanswered.last = now;
 }
 
-bool DeathWatch::zoneAnswers(const ZoneId &zone, MonotonicTime since,
-                             const ServerMap &servers) const
+bool DeathWatch::zoneAnsweredSince(const ZoneId &zone, MonotonicTime since,
+                                   const ServerMap &servers) const
 {
     return std::any_of(m_answeredAt.begin(), m_answeredAt.end(), [&](const auto &entry) {
         const auto server = servers.find(entry.first);
@@ -73,14 +74,14 @@
 
 std::set<HostId> DeathWatch::dead(const ServerMap &servers, MonotonicTime now) const
 {
-    // Answers to the same check come a moment before the first silence is certain.
-    const Duration together = m_options.interval;
+    // Reference servers answer shortly before the first probe of a dead server times out.
+    const Duration answerLead = m_options.checkInterval;
     std::set<HostId> hosts;
-    for (const auto &[host, silence] : m_silent) {
+    for (const auto &[host, unanswered] : m_unresponsive) {
         const auto server = servers.find(host);
-        if (server != servers.end() && silence.times >= m_options.silences
-            && now - silence.last < m_options.belief
-            && zoneAnswers(server->second.zone, silence.since - together, servers))
+        if (server != servers.end() && unanswered.consecutive >= m_options.silences
+            && now - unanswered.last < m_options.verdictLifetime
+            && zoneAnsweredSince(server->second.zone, unanswered.since - answerLead, servers))
             hosts.insert(host);
     }
     return hosts;
--- a/ramphinge/formation/death_watch.h
+++ b/ramphinge/formation/death_watch.h
@@ -1,8 +1,9 @@
-// Tells dead servers whose entries still stand from living ones, by asking them.
+// Detects dead servers whose store entries have not lapsed yet, by probing them.
 //
-// The planner asks the members of a replica that routers suspect, each of them twice. A silent one
-// is taken for dead if a server of the same zone answered meanwhile: else the planner itself is cut
-// off from that zone. The belief ends after a while; by then the entry of a dead server has lapsed.
+// The planner probes the members of a replica that routers suspect, each of them twice. An
+// unresponsive one is taken for dead if a server of the same zone answered at about that time:
+// otherwise the planner itself may be partitioned from that zone. The verdict expires after a few
+// seconds; by then the entry of a dead server has lapsed.
 //
 //   for (const HostId &host : watch.beginCheck(replica, servers, now)) {
 //       ask(host) ? watch.answered(host, now) : watch.silent(host, now);
@@ -23,14 +24,16 @@
 
 struct DeathWatchOptions
 {
-    // A server that is asked this often in a row without an answer is taken for dead.
+    // A server is taken for dead after this many unanswered probes in a row.
     int silences = 2;
-    // For how long: entries lapse after three heartbeats, some 4 s.
-    Duration belief = std::chrono::seconds(6);
-    // A replica is not checked again for so long.
-    Duration interval = std::chrono::seconds(1);
-    // Servers of the replica's zone that are asked too, to tell death from a cut.
-    int witnesses = 2;
+    // How long the verdict holds. Longer than a dead server's entry needs to lapse: three
+    // heartbeats, some 4 s.
+    Duration verdictLifetime = std::chrono::seconds(6);
+    // Shortest time between two checks of a replica.
+    Duration checkInterval = std::chrono::seconds(1);
+    // Other servers of the replica's zones that are probed too, to tell dead servers from a network
+    // partition.
+    int referenceServers = 2;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -39,32 +42,34 @@
 public:
     explicit DeathWatch(DeathWatchOptions options) : m_options(options) { }
 
-    // The servers to ask about the replica: its members and a few others. None if it was checked
-    // lately.
+    // The servers to probe for the replica: its members that are in `servers` and a few reference
+    // servers. Empty if the replica was checked within the check interval.
     std::vector<HostId> beginCheck(const PlannedReplica &replica, const ServerMap &servers,
                                    MonotonicTime now);
 
+    // The outcome of one probe of the host.
     void answered(const HostId &host, MonotonicTime now);
     void silent(const HostId &host, MonotonicTime now);
 
-    // Of `servers`, those that are taken for dead now.
+    // Those of `servers` that are taken for dead at `now`.
     std::set<HostId> dead(const ServerMap &servers, MonotonicTime now) const;
 
 private:
-    struct Silence
+    struct UnansweredProbes
     {
-        int times = 0; // In a row.
+        int consecutive = 0;
         MonotonicTime since;
         MonotonicTime last;
     };
 
-    void dropOld(MonotonicTime now);
-    bool zoneAnswers(const ZoneId &zone, MonotonicTime since, const ServerMap &servers) const;
+    void dropExpired(MonotonicTime now);
+    bool zoneAnsweredSince(const ZoneId &zone, MonotonicTime since, const ServerMap &servers) const;
 
     DeathWatchOptions m_options;
-    std::map<ReplicaId, MonotonicTime> m_checkedAt; // Within the interval; others are dropped.
-    // Both of the time of a belief; what is older is dropped.
-    std::map<HostId, Silence> m_silent;
+    // The last check of each replica; dropped after `checkInterval`.
+    std::map<ReplicaId, MonotonicTime> m_checkedAt;
+    // Both reach back as far as a verdict holds; older entries are dropped.
+    std::map<HostId, UnansweredProbes> m_unresponsive;
     std::map<HostId, MonotonicTime> m_answeredAt;
 };
 
--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -587,7 +587,7 @@
         CPPUNIT_ASSERT(watch.dead(servers, now).empty()); // The planner may be cut off.
         watch.answered(HostId("b-0"), now);
         CPPUNIT_ASSERT(watch.dead(servers, now) == std::set<HostId> { silent });
-        CPPUNIT_ASSERT(watch.dead(servers, now + options.belief).empty());
+        CPPUNIT_ASSERT(watch.dead(servers, now + options.verdictLifetime).empty());
         watch.answered(silent, now);
         CPPUNIT_ASSERT(watch.dead(servers, now).empty());
         watch.silent(silent, now); // Once is not enough.
@@ -608,7 +608,7 @@
                                           HostId("b-1") };
         CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now) == asked);
         CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now).empty());
-        CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now + options.interval) == asked);
+        CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now + options.checkInterval) == asked);
     }
 
     // A server's staged model is pushed out by another one; staging it again loads again.
--- a/ramphinge/formation/presence.h
+++ b/ramphinge/formation/presence.h
@@ -1,5 +1,5 @@
-// Since when servers have been in the view, or out of it: what tells a server that is gone from one
-// whose entry will be back.
+// Tracks since when servers have been in the fleet view, or missing from it. Tells servers that are
+// gone from those whose store entries will come back.
 
 #pragma once
 
@@ -15,14 +15,17 @@
 
 struct PresenceOptions
 {
-    // Entries that vanished for a common cause come back within two heartbeats of each other.
-    Duration settling = std::chrono::milliseconds(2600);
-    // A replica all of whose members are missing is kept for so long: they may be behind a cut.
-    Duration forgetting = std::chrono::seconds(30);
-    // The first replicas are formed once no server has appeared for so long: formed earlier, small
-    // replicas would take the places of large ones. But not later than `gatherAtMost`.
-    Duration gatherQuiet = std::chrono::milliseconds(700);
-    Duration gatherAtMost = std::chrono::milliseconds(3500);
+    // A server is settled after this time in the view: entries that disappeared for a common cause
+    // come back within two heartbeats of each other.
+    Duration settlingTime = std::chrono::milliseconds(2600);
+    // A server that is missing for this long is presumed lost. Until then a replica all of whose
+    // members are missing is kept: they may be behind a network partition.
+    Duration lossTimeout = std::chrono::seconds(30);
+    // The first replicas are formed once no new server has registered for this long: formed
+    // earlier, small replicas would take the servers that large ones need. Waits for
+    // `maxRegistrationWait` at most.
+    Duration registrationQuietTime = std::chrono::milliseconds(700);
+    Duration maxRegistrationWait = std::chrono::milliseconds(3500);
 };
 
 // Not thread-safe: lives on the event loop.
@@ -33,25 +36,26 @@
 
     void observe(const FleetView &fleet, MonotonicTime now);
 
-    // Servers still register, one after the other.
+    // Whether servers are still registering after the start, so that the first replicas should
+    // wait.
     bool isGathering(MonotonicTime now) const;
 
-    // Servers that have been there for `settling`.
+    // Servers that have been in the view for `settlingTime`.
     std::set<HostId> settled(MonotonicTime now) const;
 
-    // Members of the plan that have been missing for `forgetting`, counted from when this object
-    // first knew of them.
+    // Members of the plan that have been missing for `lossTimeout`, counted from when this object
+    // first saw them missing.
     std::set<HostId> forgotten(const ReplicaPlan &plan, MonotonicTime now);
 
 private:
-    void dropLongMissing(MonotonicTime now);
+    void pruneMissing(MonotonicTime now);
 
     PresenceOptions m_options;
     std::map<HostId, MonotonicTime> m_presentSince; // Exactly the servers in the view.
-    // When a server that is not in the view left it, or when the plan first named it. Those that
-    // have been missing for very long are dropped.
+    // When a server that is missing left the view, or when the plan first named it. Dropped after
+    // twice `lossTimeout`.
     std::map<HostId, MonotonicTime> m_missingSince;
-    std::optional<std::uint64_t> m_generation; // Of the view that was last observed.
+    std::optional<std::uint64_t> m_generation; // Of the last observed view.
     MonotonicTime m_firstServerAt;
     MonotonicTime m_newestServerAt;
 };
