--- a/ramphinge/formation/formation_planner.cpp
+++ b/ramphinge/formation/formation_planner.cpp
@@ -1,4 +1,4 @@
-// Forming of replicas: see formation_planner.h.
+// Planning of replicas: see formation_planner.h.
 
 #include "ramphinge/formation/formation_planner.h"
 
@@ -35,7 +35,7 @@
     return server == nullptr;
 }
 
-bool isLeaving(const UpstreamServer *server)
+bool isDraining(const UpstreamServer *server)
 {
     return server != nullptr && server->draining;
 }
@@ -48,13 +48,15 @@
     });
 }
 
-bool headIs(const PlannedReplica &replica, const FormationInput &input, MembershipState state)
+bool isHeadInState(const PlannedReplica &replica, const FormationInput &input,
+                   MembershipState state)
 {
     const HostId &head = replica.hosts.front();
     return isMember(input, replica, head) && find(input, head)->membership->state == state;
 }
 
-// Some member's entry stands, and has stood for long enough that the others' would be back.
+// Whether some member is in the view, and those that are have been for so long that the others
+// would be back by now.
 bool membersAreSettled(const PlannedReplica &replica, const FormationInput &input)
 {
     bool any = false;
@@ -68,64 +70,67 @@
     return any;
 }
 
-// Nobody of it is left: every member that is to be seen has left it, and those that are not to be
-// seen have been missing for long if they are all of them.
-bool isOver(const PlannedReplica &replica, const FormationInput &input)
+// Whether the Broken replica can be dropped: no present member belongs to it any more, and if none
+// is present, all of them are presumed lost. While a present member still belongs to it, its head
+// must report Broken.
+bool canBeDropped(const PlannedReplica &replica, const FormationInput &input)
 {
-    const auto stays = [&](const HostId &host) { return isMember(input, replica, host); };
-    const auto isForgotten = [&](const HostId &host) { return input.forgotten.count(host) > 0; };
-    if (std::any_of(replica.hosts.begin(), replica.hosts.end(), stays))
-        return headIs(replica, input, MembershipState::Broken);
+    const auto isStillMember = [&](const HostId &host) { return isMember(input, replica, host); };
+    const auto isPresumedLost = [&](const HostId &host) { return input.forgotten.count(host) > 0; };
+    if (std::any_of(replica.hosts.begin(), replica.hosts.end(), isStillMember))
+        return isHeadInState(replica, input, MembershipState::Broken);
     const bool anyPresent =
         std::any_of(replica.hosts.begin(), replica.hosts.end(),
                     [&](const HostId &host) { return find(input, host) != nullptr; });
-    return anyPresent || std::all_of(replica.hosts.begin(), replica.hosts.end(), isForgotten);
+    return anyPresent || std::all_of(replica.hosts.begin(), replica.hosts.end(), isPresumedLost);
 }
 
-// A member of an opened replica has gone elsewhere: restarted in place, or obeyed somebody else.
-bool lostMember(const PlannedReplica &replica, const FormationInput &input)
+// Whether a host is no longer a member of this replica at its epoch: missing, restarted in place,
+// or following another planner's order.
+bool hasLostMember(const PlannedReplica &replica, const FormationInput &input)
 {
     return std::any_of(replica.hosts.begin(), replica.hosts.end(),
                        [&](const HostId &host) { return !isMember(input, replica, host); });
 }
 
-// Every member is there, stays, and belongs to it, and the head serves.
-bool isWhole(const PlannedReplica &replica, const FormationInput &input)
+// Whether every member is present, not draining, and belongs to the replica, and the head is open.
+bool isIntact(const PlannedReplica &replica, const FormationInput &input)
 {
-    return !lostMember(replica, input) && !anyHost(replica, input, isLeaving)
-        && headIs(replica, input, MembershipState::Open);
+    return !hasLostMember(replica, input) && !anyHost(replica, input, isDraining)
+        && isHeadInState(replica, input, MembershipState::Open);
 }
 
-// The replica's next phase; nothing if it is over.
+// The replica's next phase; nothing if it is to be dropped.
 std::optional<ReplicaPhase> nextPhase(const PlannedReplica &replica, const FormationInput &input)
 {
     const bool failed = input.failed.count(replica.replica) > 0;
     switch (replica.phase) {
     case ReplicaPhase::Forming:
-        if (failed || anyHost(replica, input, isMissing) || anyHost(replica, input, isLeaving))
+        if (failed || anyHost(replica, input, isMissing) || anyHost(replica, input, isDraining))
             return std::nullopt;
         return allReady(replica, input) ? ReplicaPhase::Ready : ReplicaPhase::Forming;
     case ReplicaPhase::Ready:
-        if (failed || anyHost(replica, input, isMissing) || lostMember(replica, input)
-            || headIs(replica, input, MembershipState::Broken))
+        if (failed || anyHost(replica, input, isMissing) || hasLostMember(replica, input)
+            || isHeadInState(replica, input, MembershipState::Broken))
             return ReplicaPhase::Broken;
-        return anyHost(replica, input, isLeaving) ? ReplicaPhase::Draining : ReplicaPhase::Ready;
+        return anyHost(replica, input, isDraining) ? ReplicaPhase::Draining : ReplicaPhase::Ready;
     case ReplicaPhase::Draining:
-        if (failed || anyHost(replica, input, isMissing) || lostMember(replica, input))
+        if (failed || anyHost(replica, input, isMissing) || hasLostMember(replica, input))
             return ReplicaPhase::Broken;
-        // Closed: only what is seen after it was open counts, so it is left, not just closed.
-        return headIs(replica, input, MembershipState::Ready) ? ReplicaPhase::Broken
-                                                              : ReplicaPhase::Draining;
+        // A head that is Ready after it was open has closed. The replica is then dissolved, not
+        // just kept closed.
+        return isHeadInState(replica, input, MembershipState::Ready) ? ReplicaPhase::Broken
+                                                                     : ReplicaPhase::Draining;
     case ReplicaPhase::Broken:
-        if (isOver(replica, input))
+        if (canBeDropped(replica, input))
             return std::nullopt;
-        // All members are back as they were: they had been cut off from the store.
-        return isWhole(replica, input) ? ReplicaPhase::Ready : ReplicaPhase::Broken;
+        // All members are back as they were: they had been partitioned from the store.
+        return isIntact(replica, input) ? ReplicaPhase::Ready : ReplicaPhase::Broken;
     }
     return std::nullopt;
 }
 
-bool belongsTo(const PlannedReplica &replica, const FormationInput &input)
+bool isModelOfEngine(const PlannedReplica &replica, const FormationInput &input)
 {
     return input.engine.find(replica.model) != nullptr;
 }
@@ -136,8 +141,8 @@
     return server != nullptr && !server->isWarmFor(model);
 }
 
-void addJoins(const PlannedReplica &replica, const FormationInput &input,
-              std::vector<ServerOrder> &orders)
+void addJoinOrders(const PlannedReplica &replica, const FormationInput &input,
+                   std::vector<ServerOrder> &orders)
 {
     for (const HostId &host : replica.hosts) {
         if (find(input, host) == nullptr || isMember(input, replica, host))
@@ -147,9 +152,10 @@
     }
 }
 
-// Staging a second model on each server lets it serve either within a second or two.
-void addStaging(const ReplicaPlan &plan, const FormationInput &input,
-                std::vector<ServerOrder> &orders)
+// Orders to stage a second model on each server, which lets it serve either model within a second
+// or two.
+void addStageOrders(const ReplicaPlan &plan, const FormationInput &input,
+                    std::vector<ServerOrder> &orders)
 {
     ReplicaPlan scratch = plan;
     for (const StagingChoice &choice : Allocation(scratch, input).modelsToStage()) {
@@ -169,10 +175,10 @@
     return { kind, replica.hosts.front(), replica.replica, replica.epoch, {}, {}, false, false };
 }
 
-// Every member leaves, not the head alone: the head may be out of reach and serve on. Not while the
-// members are just coming back.
-void addLeaves(const PlannedReplica &replica, const FormationInput &input,
-               std::vector<ServerOrder> &orders)
+// Orders every member to leave, not the head alone: the head may be unreachable and serve on. Not
+// while members are just coming back.
+void addLeaveOrders(const PlannedReplica &replica, const FormationInput &input,
+                    std::vector<ServerOrder> &orders)
 {
     if (!membersAreSettled(replica, input))
         return;
@@ -183,29 +189,29 @@
     }
 }
 
-// Members of replicas that are not in the plan: they were given up while the servers were cut off,
-// or before an order to join was carried out.
-void addStrayLeaves(const ReplicaPlan &plan, const FormationInput &input,
-                    std::vector<ServerOrder> &orders)
+// Orders members to leave replicas that are not in the plan: replicas that were given up while the
+// servers were partitioned, or before an order to join was carried out.
+void addLeavesOfUnplannedReplicas(const ReplicaPlan &plan, const FormationInput &input,
+                                  std::vector<ServerOrder> &orders)
 {
     for (const auto &[host, server] : input.servers) {
         if (server.service != input.service || server.draining || !server.membership
             || plan.find(server.membership->replica) != nullptr)
             continue;
-        const ReplicaMembership &held = *server.membership;
+        const ReplicaMembership &leaving = *server.membership;
         orders.push_back(
-            { OrderKind::Leave, host, held.replica, held.epoch, {}, {}, false, false });
+            { OrderKind::Leave, host, leaving.replica, leaving.epoch, {}, {}, false, false });
     }
 }
 
 } // namespace
 
-double serversNeeded(const ModelProfile &model, double busy)
+double serversNeeded(const ModelProfile &model, double busyServers)
 {
-    return busy + model.serversPerReplica;
+    return busyServers + model.serversPerReplica;
 }
 
-double serversWithheld(const ReplicaPlan &plan, const ModelProfile &model, RequestRate whole,
+double serversWithheld(const ReplicaPlan &plan, const ModelProfile &model, RequestRate fullRate,
                        const std::function<std::optional<RequestRate>(const HostId &)> &rateOf)
 {
     double servers = 0;
@@ -213,8 +219,8 @@
         if (replica.model != model.model || replica.phase != ReplicaPhase::Ready)
             continue;
         const std::optional<RequestRate> rate = rateOf(replica.hosts.front());
-        if (rate && *rate < whole)
-            servers += model.serversPerReplica * (1 - rate->perSecond() / whole.perSecond());
+        if (rate && *rate < fullRate)
+            servers += model.serversPerReplica * (1 - rate->perSecond() / fullRate.perSecond());
     }
     return servers;
 }
@@ -246,7 +252,7 @@
     ReplicaPlan next;
     next.epoch = current.epoch;
     for (const PlannedReplica &replica : current.replicas) {
-        if (!belongsTo(replica, input)) {
+        if (!isModelOfEngine(replica, input)) {
             next.replicas.push_back(replica);
             continue;
         }
@@ -266,27 +272,27 @@
 {
     std::vector<ServerOrder> orders;
     for (const PlannedReplica &replica : plan.replicas) {
-        if (!belongsTo(replica, input))
+        if (!isModelOfEngine(replica, input))
             continue;
         switch (replica.phase) {
         case ReplicaPhase::Forming:
-            addJoins(replica, input, orders);
+            addJoinOrders(replica, input, orders);
             break;
         case ReplicaPhase::Ready:
-            if (headIs(replica, input, MembershipState::Ready))
+            if (isHeadInState(replica, input, MembershipState::Ready))
                 orders.push_back(headOrder(OrderKind::Open, replica));
             break;
         case ReplicaPhase::Draining:
-            if (headIs(replica, input, MembershipState::Open))
+            if (isHeadInState(replica, input, MembershipState::Open))
                 orders.push_back(headOrder(OrderKind::Close, replica));
             break;
         case ReplicaPhase::Broken:
-            addLeaves(replica, input, orders);
+            addLeaveOrders(replica, input, orders);
             break;
         }
     }
-    addStrayLeaves(plan, input, orders);
-    addStaging(plan, input, orders);
+    addLeavesOfUnplannedReplicas(plan, input, orders);
+    addStageOrders(plan, input, orders);
     return orders;
 }
 
--- a/ramphinge/formation/internal/allocation.cpp
+++ b/ramphinge/formation/internal/allocation.cpp
@@ -1,4 +1,4 @@
-// Servers for models: see allocation.h.
+// Allocation of servers to models: see allocation.h.
 
 #include "ramphinge/formation/internal/allocation.h"
 
@@ -9,23 +9,25 @@
 
 namespace {
 
-// A model without servers takes part in ratios as if it had this many.
-constexpr double noServers = 0.25;
-// Servers are taken from a model only for one that has less than this part of what the giver has,
-// each against its share, if all servers of the new replica are taken: moving servers costs the
-// giver's requests a wait. The fewer are taken, the less of a difference is enough: one small
-// replica completes the fifteen survivors of a large one.
-constexpr double imbalance = 0.7;
+// Lower bound of both sides of a model's ratio, in servers, so that models without servers or share
+// have a finite ratio above 0.
+constexpr double ratioFloorServers = 0.25;
+// If all servers of a new replica are taken from donors, its model must have less than this
+// fraction of the donor's ratio: moving servers delays the donor's requests. The fewer are taken,
+// the smaller a difference is enough: one small replica completes the fifteen survivors of a large
+// one.
+constexpr double donationThreshold = 0.7;
 
-// How soon a server could be a ready member: 0 held the model last, 1 has it staged, 2 has to load.
-int coldness(const UpstreamServer &server, const ModelId &model)
+// How long a server takes to become a ready member: 0 held the model last, 1 has it staged, 2 has
+// to load it.
+int startCost(const UpstreamServer &server, const ModelId &model)
 {
     if (server.lastModel == model)
         return 0;
     return server.isWarmFor(model) ? 1 : 2;
 }
 
-bool counts(const PlannedReplica &replica)
+bool isFormingOrReady(const PlannedReplica &replica)
 {
     return replica.phase == ReplicaPhase::Forming || replica.phase == ReplicaPhase::Ready;
 }
@@ -34,7 +36,7 @@
 
 bool operator<(const StagingPlan &a, const StagingPlan &b)
 {
-    return std::tie(a.completes, a.worth) < std::tie(b.completes, b.worth);
+    return std::tie(a.completesReplica, a.benefit) < std::tie(b.completesReplica, b.benefit);
 }
 
 Allocation::Allocation(ReplicaPlan &plan, const FormationInput &input)
@@ -53,13 +55,13 @@
 void Allocation::countPlanned()
 {
     for (const PlannedReplica &replica : m_plan.replicas) {
-        m_planned.insert(replica.hosts.begin(), replica.hosts.end());
-        if (counts(replica))
-            count(replica);
+        m_plannedHosts.insert(replica.hosts.begin(), replica.hosts.end());
+        if (isFormingOrReady(replica))
+            addToCounts(replica);
     }
 }
 
-void Allocation::count(const PlannedReplica &replica)
+void Allocation::addToCounts(const PlannedReplica &replica)
 {
     const int servers = static_cast<int>(replica.hosts.size());
     m_serversOf[replica.model] += servers;
@@ -71,21 +73,21 @@
 void Allocation::collectFree()
 {
     for (const auto &[host, server] : m_input.servers) {
-        const std::optional<ReplicaMembership> &held = server.membership;
-        if (held && held->rank == 0 && held->state == MembershipState::Broken)
-            m_broken.insert({ held->replica, held->epoch });
+        const std::optional<ReplicaMembership> &reported = server.membership;
+        if (reported && reported->rank == 0 && reported->state == MembershipState::Broken)
+            m_broken.insert({ reported->replica, reported->epoch });
     }
     for (const auto &[host, server] : m_input.servers) {
         if (server.service != m_input.service || server.domain.empty())
             continue;
-        ++m_total;
-        if (!server.draining && m_planned.count(host) == 0 && m_input.unusable.count(host) == 0
+        ++m_serviceServers;
+        if (!server.draining && m_plannedHosts.count(host) == 0 && m_input.unusable.count(host) == 0
             && !isHeldElsewhere(server))
             m_free[server.domain].push_back(&server);
     }
 }
 
-// Whether the server is still in a replica, and its head is not known to be broken.
+// Whether the server is still in a replica whose head isn't known to be broken.
 bool Allocation::isHeldElsewhere(const UpstreamServer &server) const
 {
     return server.membership
@@ -108,34 +110,35 @@
 {
     const auto found = m_serversOf.find(model.model);
     const double have = found == m_serversOf.end() ? 0 : found->second;
-    return std::max(noServers, have) / std::max(noServers, shareOf(model.model) * m_total);
+    return std::max(ratioFloorServers, have)
+        / std::max(ratioFloorServers, shareOf(model.model) * m_serviceServers);
 }
 
-int Allocation::inZone(const ModelId &model, const ZoneId &zone) const
+int Allocation::serversInZone(const ModelId &model, const ZoneId &zone) const
 {
     const auto found = m_serversInZone.find({ model, zone });
     return found == m_serversInZone.end() ? 0 : found->second;
 }
 
-std::optional<ReplicaChoice> Allocation::choiceIn(const ModelProfile &model, const DomainId &domain,
-                                                  Servers free) const
+std::optional<ReplicaChoice> Allocation::choiceInDomain(const ModelProfile &model,
+                                                        const DomainId &domain, Servers free) const
 {
     const auto size = static_cast<std::size_t>(model.serversPerReplica);
     if (size == 0 || free.size() < size)
         return std::nullopt;
     std::stable_sort(free.begin(), free.end(), [&](const auto *a, const auto *b) {
-        return coldness(*a, model.model) < coldness(*b, model.model);
+        return startCost(*a, model.model) < startCost(*b, model.model);
     });
     ReplicaChoice choice { &model, domain, {}, 0, ratioOf(model) };
     for (std::size_t i = 0; i < size; ++i) {
         choice.hosts.push_back(free[i]->host);
-        choice.loads += coldness(*free[i], model.model) == 2 ? 1 : 0;
+        choice.loads += startCost(*free[i], model.model) == 2 ? 1 : 0;
     }
     return choice;
 }
 
-// The model with the largest replicas, the hardest to place; null if there is no model.
-const ModelProfile *Allocation::largest() const
+// The model with the largest replicas, which are the hardest to place; null if there is no model.
+const ModelProfile *Allocation::modelWithLargestReplicas() const
 {
     const std::vector<ModelProfile> &models = m_input.engine.models;
     const auto found = std::max_element(models.begin(), models.end(),
@@ -145,7 +148,7 @@
     return found == models.end() ? nullptr : &*found;
 }
 
-// Whether the free servers have room for no more of the largest replicas than that model still
+// Whether the free servers have room for no more of the largest replicas than their model still
 // needs.
 bool Allocation::isRoomScarce(const ModelProfile &largestModel) const
 {
@@ -154,37 +157,38 @@
     for (const auto &[domain, free] : m_free)
         room += static_cast<int>(free.size()) / size;
     const auto have = m_serversOf.find(largestModel.model);
-    const double missing =
-        shareOf(largestModel.model) * m_total - (have == m_serversOf.end() ? 0 : have->second);
+    const double missing = shareOf(largestModel.model) * m_serviceServers
+        - (have == m_serversOf.end() ? 0 : have->second);
     return room * size <= missing;
 }
 
-// The best domain for the model: least to load, then the zone that has least of it, then most free
-// servers. Before the first request, when the layout as a whole is made, smaller replicas keep out
-// of the room that the largest ones still need: in forty domains of 19, replicas of 4 took the room
-// of 6 in 40 replicas of 8, and 34 were formed for equal shares. Later free servers are stand-bys
-// of the replicas in their domain, and where they are taken matters more.
-std::optional<ReplicaChoice> Allocation::bestFor(const ModelProfile &model) const
+// The best domain for the model: fewest loads, then the zone with the fewest of its servers, then
+// most free servers. Before the first request, when the whole layout is made, smaller replicas
+// avoid the room that the largest ones still need: in forty domains of 19, replicas of 4 took the
+// room of 6 in 40 replicas of 8, and 34 were formed for equal shares. Later on free servers are
+// spares for the replicas in their domain, and which domain they are taken from matters more.
+std::optional<ReplicaChoice> Allocation::bestChoiceFor(const ModelProfile &model) const
 {
-    const ModelProfile *largestModel = largest();
+    const ModelProfile *largestModel = modelWithLargestReplicas();
     const int largestSize = std::max(1, largestModel->serversPerReplica);
-    const bool keepsOut = m_input.joinsMayLoad && model.serversPerReplica < largestSize
-        && isRoomScarce(*largestModel);
+    const bool avoidsLargeReplicaRoom = m_input.joinsMayLoad
+        && model.serversPerReplica < largestSize && isRoomScarce(*largestModel);
     std::optional<ReplicaChoice> best;
-    std::tuple<int, int, int, int> bestKey;
+    std::tuple<int, int, int, int> bestRank;
     for (const auto &[domain, free] : m_free) {
-        std::optional<ReplicaChoice> choice = choiceIn(model, domain, free);
+        std::optional<ReplicaChoice> choice = choiceInDomain(model, domain, free);
         if (!choice || (choice->loads > 0 && !m_input.joinsMayLoad))
             continue;
         const int servers = static_cast<int>(free.size());
-        const int placesLost =
+        const int largeReplicasLost =
             servers / largestSize - (servers - model.serversPerReplica) / largestSize;
         const std::tuple<int, int, int, int> key { choice->loads,
-                                                   inZone(model.model, free.front()->zone),
-                                                   keepsOut ? placesLost : 0, -servers };
-        if (!best || key < bestKey) {
+                                                   serversInZone(model.model, free.front()->zone),
+                                                   avoidsLargeReplicaRoom ? largeReplicasLost : 0,
+                                                   -servers };
+        if (!best || key < bestRank) {
             best = std::move(choice);
-            bestKey = key;
+            bestRank = key;
         }
     }
     return best;
@@ -194,13 +198,13 @@
 {
     std::vector<ReplicaChoice> choices;
     for (const ModelProfile &model : m_input.engine.models) {
-        std::optional<ReplicaChoice> choice = bestFor(model);
+        std::optional<ReplicaChoice> choice = bestChoiceFor(model);
         if (choice)
             choices.push_back(std::move(*choice));
     }
     if (choices.empty())
         return std::nullopt;
-    // At equal need the larger replica goes first: it is harder to place.
+    // At equal ratios the larger replica goes first: it is harder to place.
     const auto before = [](const ReplicaChoice &a, const ReplicaChoice &b) {
         return a.ratio != b.ratio ? a.ratio < b.ratio : a.hosts.size() > b.hosts.size();
     };
@@ -222,12 +226,12 @@
             != choice.hosts.end();
     };
     free.erase(std::remove_if(free.begin(), free.end(), isUsed), free.end());
-    m_planned.insert(choice.hosts.begin(), choice.hosts.end());
-    count(replica);
+    m_plannedHosts.insert(choice.hosts.begin(), choice.hosts.end());
+    addToCounts(replica);
     m_plan.replicas.push_back(std::move(replica));
 }
 
-const ModelProfile *Allocation::neediest() const
+const ModelProfile *Allocation::mostUnderserved() const
 {
     const std::vector<ModelProfile> &models = m_input.engine.models;
     const auto found = std::min_element(
@@ -236,21 +240,25 @@
     return found == models.end() ? nullptr : &*found;
 }
 
-// Whether the model has so much more than the needy one that it should give so many servers for a
-// replica of it.
-bool Allocation::shouldGive(const ModelId &giver, const ModelProfile &needy, int given) const
+// Whether the donor's ratio is so far above the underserved model's that it should give up
+// `donated` servers for a replica of it.
+bool Allocation::shouldDonate(const ModelId &donor, const ModelProfile &underserved,
+                              int donated) const
 {
-    const ModelProfile *model = m_input.engine.find(giver);
-    if (model == nullptr || giver == needy.model)
+    const ModelProfile *model = m_input.engine.find(donor);
+    if (model == nullptr || donor == underserved.model)
         return false;
-    const double left = m_serversOf.at(giver) - given;
-    const double leftRatio = left / std::max(noServers, shareOf(giver) * m_total);
-    const double part = std::min(1.0, static_cast<double>(given) / needy.serversPerReplica);
-    const double difference = 1 - (1 - imbalance) * part;
-    return ratioOf(needy) < difference * ratioOf(*model) && leftRatio > ratioOf(needy);
+    const double remainingServers = m_serversOf.at(donor) - donated;
+    const double remainingRatio =
+        remainingServers / std::max(ratioFloorServers, shareOf(donor) * m_serviceServers);
+    const double donatedPart =
+        std::min(1.0, static_cast<double>(donated) / underserved.serversPerReplica);
+    const double ratioThreshold = 1 - (1 - donationThreshold) * donatedPart;
+    return ratioOf(underserved) < ratioThreshold * ratioOf(*model)
+        && remainingRatio > ratioOf(underserved);
 }
 
-// The servers of a replica, if all are there to stay; else none.
+// The servers of a replica; empty if one of them is missing or draining.
 Allocation::Servers Allocation::serversOf(const PlannedReplica &replica) const
 {
     Servers servers;
@@ -263,49 +271,49 @@
     return servers;
 }
 
-// Replicas to drain in the domain so that their servers, the free ones and those that are being
-// drained already make a replica of the needy model without a load. Nothing if that can't be had.
-std::optional<Allocation::Conversion> Allocation::conversionIn(const DomainId &domain,
-                                                               const ModelProfile &needy) const
+// The replicas to drain in the domain so that their servers and the free ones make a replica of the
+// underserved model without a load. Nothing if that isn't possible.
+std::optional<Allocation::Conversion>
+Allocation::conversionIn(const DomainId &domain, const ModelProfile &underserved) const
 {
-    // What they leave in a moment may save givers.
+    // Servers that survivors free in a moment may save donors.
     if (survivorsAreLeaving(domain))
         return std::nullopt;
     Conversion conversion { domain, {} };
     const auto free = m_free.find(domain);
     Servers servers = free == m_free.end() ? Servers() : free->second;
-    Servers givers;
+    Servers donors;
     for (const PlannedReplica &replica : m_plan.replicas) {
         // One conversion at a time in a domain.
-        if (replica.domain == domain && isGivingWay(replica))
+        if (replica.domain == domain && isDonating(replica))
             return std::nullopt;
     }
     const auto isWarm = [&](const UpstreamServer *server) {
-        return server->isWarmFor(needy.model);
+        return server->isWarmFor(underserved.model);
     };
     servers.erase(std::remove_if(servers.begin(), servers.end(),
                                  [&](const UpstreamServer *server) { return !isWarm(server); }),
                   servers.end());
     for (const PlannedReplica &replica : m_plan.replicas) {
-        if (static_cast<int>(servers.size()) >= needy.serversPerReplica)
+        if (static_cast<int>(servers.size()) >= underserved.serversPerReplica)
             break;
-        const int given = conversion.given + static_cast<int>(replica.hosts.size());
+        const int donated = conversion.donated + static_cast<int>(replica.hosts.size());
         if (replica.domain != domain || replica.phase != ReplicaPhase::Ready
-            || !shouldGive(replica.model, needy, given))
+            || !shouldDonate(replica.model, underserved, donated))
             continue;
-        const Servers more = serversOf(replica);
-        if (more.empty() || !std::all_of(more.begin(), more.end(), isWarm))
+        const Servers donorServers = serversOf(replica);
+        if (donorServers.empty() || !std::all_of(donorServers.begin(), donorServers.end(), isWarm))
             continue;
-        conversion.givers.push_back(replica.replica);
-        conversion.given = given;
-        servers.insert(servers.end(), more.begin(), more.end());
+        conversion.donors.push_back(replica.replica);
+        conversion.donated = donated;
+        servers.insert(servers.end(), donorServers.begin(), donorServers.end());
     }
-    if (static_cast<int>(servers.size()) < needy.serversPerReplica)
+    if (static_cast<int>(servers.size()) < underserved.serversPerReplica)
         return std::nullopt;
     return conversion;
 }
 
-// Whether a replica that lost a member still holds others; in one domain, or anywhere.
+// Whether a replica that lost a member still holds others, in one domain or in any.
 bool Allocation::survivorsAreLeaving(const std::optional<DomainId> &domain) const
 {
     const auto holds = [this](const PlannedReplica &replica) {
@@ -318,91 +326,93 @@
     return std::any_of(
         m_plan.replicas.begin(), m_plan.replicas.end(), [&](const PlannedReplica &replica) {
             return replica.phase == ReplicaPhase::Broken && (!domain || replica.domain == *domain)
-                && !isGivingWay(replica) && holds(replica);
+                && !isDonating(replica) && holds(replica);
         });
 }
 
-// Whether the replica ends so that another model gets its servers, all of which stay.
-bool Allocation::isGivingWay(const PlannedReplica &replica) const
+// Whether the replica drains or dissolves while all of its servers stay, so that another model gets
+// them.
+bool Allocation::isDonating(const PlannedReplica &replica) const
 {
     const bool ends =
         replica.phase == ReplicaPhase::Draining || replica.phase == ReplicaPhase::Broken;
     return ends && !serversOf(replica).empty();
 }
 
-// Where replicas are giving way, the free servers wait for the rest: formed into a replica of the
-// giver's model, they would have been drained for nothing. What comes is counted for the needy
+// Reserves the free servers of domains in which donors drain: formed into a replica of the donor's
+// model, they would have been drained for nothing. Counts the coming replica for the underserved
 // model, so that no more is converted than it lacks.
-void Allocation::holdConvertingDomains(const ModelProfile &needy)
+void Allocation::reserveConvertingDomains(const ModelProfile &underserved)
 {
-    const auto countWarm = [&needy](const Servers &servers) {
-        return static_cast<int>(
-            std::count_if(servers.begin(), servers.end(), [&needy](const UpstreamServer *server) {
-                return server->isWarmFor(needy.model);
-            }));
+    const auto countWarm = [&underserved](const Servers &servers) {
+        return static_cast<int>(std::count_if(servers.begin(), servers.end(),
+                                              [&underserved](const UpstreamServer *server) {
+                                                  return server->isWarmFor(underserved.model);
+                                              }));
     };
-    std::map<DomainId, int> warm; // Servers that come free.
+    std::map<DomainId, int> warm; // Warm servers about to be free.
     for (const PlannedReplica &replica : m_plan.replicas) {
-        if (isGivingWay(replica))
+        if (isDonating(replica))
             warm[replica.domain] += countWarm(serversOf(replica));
     }
     for (const auto &[domain, servers] : warm) {
         const auto free = m_free.find(domain);
         const int ready = free == m_free.end() ? 0 : countWarm(free->second);
-        if (ready >= needy.serversPerReplica || ready + servers < needy.serversPerReplica)
+        if (ready >= underserved.serversPerReplica
+            || ready + servers < underserved.serversPerReplica)
             continue;
-        m_serversOf[needy.model] += needy.serversPerReplica;
+        m_serversOf[underserved.model] += underserved.serversPerReplica;
         m_free.erase(domain);
     }
 }
 
 void Allocation::rebalance()
 {
-    const ModelProfile *needy = neediest();
-    if (needy == nullptr)
+    const ModelProfile *underserved = mostUnderserved();
+    if (underserved == nullptr)
         return;
-    holdConvertingDomains(*needy);
-    const bool richer = std::any_of(
+    reserveConvertingDomains(*underserved);
+    const bool anyDonor = std::any_of(
         m_input.engine.models.begin(), m_input.engine.models.end(), [&](const ModelProfile &model) {
             return m_serversOf.count(model.model) > 0
-                && shouldGive(model.model, *needy, model.serversPerReplica);
+                && shouldDonate(model.model, *underserved, model.serversPerReplica);
         });
-    // Servers that are enough already are formed, not converted.
-    if (!richer || bestFor(*needy))
+    // If the free servers are enough for a replica, formReplicas() forms it without a conversion.
+    if (!anyDonor || bestChoiceFor(*underserved))
         return;
     std::set<DomainId> domains;
     for (const PlannedReplica &replica : m_plan.replicas)
         domains.insert(replica.domain);
     std::optional<Conversion> best;
     for (const DomainId &domain : domains) {
-        std::optional<Conversion> conversion = conversionIn(domain, *needy);
-        if (conversion && (!best || conversion->given < best->given))
+        std::optional<Conversion> conversion = conversionIn(domain, *underserved);
+        if (conversion && (!best || conversion->donated < best->donated))
             best = std::move(conversion);
     }
     if (!best)
         return;
-    // Survivors elsewhere may make a replica with fewer givers in a moment.
-    const bool takesMuch = best->given * 2 > needy->serversPerReplica;
-    if (takesMuch && survivorsAreLeaving(std::nullopt))
+    // Survivors elsewhere may soon allow a replica with fewer donors.
+    const bool takesMostFromDonors = best->donated * 2 > underserved->serversPerReplica;
+    if (takesMostFromDonors && survivorsAreLeaving(std::nullopt))
         return;
     for (PlannedReplica &replica : m_plan.replicas) {
-        const auto &givers = best->givers;
-        if (std::find(givers.begin(), givers.end(), replica.replica) != givers.end())
+        const auto &donors = best->donors;
+        if (std::find(donors.begin(), donors.end(), replica.replica) != donors.end())
             replica.phase = ReplicaPhase::Draining;
     }
-    // What is free there waits for the rest.
+    // The free servers there are reserved for the conversion.
     m_free.erase(best->domain);
 }
 
-// Whether it is warm for the model, or will be once the load in progress is over.
-bool Allocation::willHold(const UpstreamServer &server, const ModelId &model) const
+// Whether the server is warm for the model, or will be once the load in progress is over.
+bool Allocation::willBeWarm(const UpstreamServer &server, const ModelId &model) const
 {
     const auto loading = m_input.loading.find(server.host);
     return server.isWarmFor(model)
         || (loading != m_input.loading.end() && loading->second == model);
 }
 
-bool Allocation::needsAnother(const UpstreamServer &server) const
+bool Allocation::hasNoAlternateModel(const UpstreamServer &server) const
 {
     const std::vector<ModelProfile> &models = m_input.engine.models;
     return std::none_of(models.begin(), models.end(), [&server](const ModelProfile &model) {
@@ -410,39 +420,39 @@
     });
 }
 
-// Whether the server can form a replica of no model without a load.
+// Whether the server can't join a replica of any model without a load.
 bool Allocation::isCold(const UpstreamServer &server) const
 {
     const std::vector<ModelProfile> &models = m_input.engine.models;
     return std::none_of(models.begin(), models.end(),
-                        [&](const ModelProfile &model) { return willHold(server, model.model); });
+                        [&](const ModelProfile &model) { return willBeWarm(server, model.model); });
 }
 
-// What staging the model on cold ones of the idle servers of one domain would bring.
+// The plan to stage the model on cold ones of the idle servers of one domain.
 StagingPlan Allocation::stagingFor(const ModelProfile &model, const Servers &idle) const
 {
     StagingPlan plan;
     plan.model = &model;
     const auto size = static_cast<std::size_t>(model.serversPerReplica);
     for (const UpstreamServer *server : idle) {
-        if (willHold(*server, model.model) && plan.members.size() < size)
+        if (willBeWarm(*server, model.model) && plan.members.size() < size)
             plan.members.push_back(server);
     }
     for (const UpstreamServer *server : idle) {
-        if (!willHold(*server, model.model) && isCold(*server) && plan.members.size() < size) {
+        if (!willBeWarm(*server, model.model) && isCold(*server) && plan.members.size() < size) {
             plan.members.push_back(server);
             ++plan.loads;
         }
     }
-    plan.completes = plan.members.size() == size;
+    plan.completesReplica = plan.members.size() == size;
     const double loadTime = plan.loads * toMilliseconds(model.loadTime);
     if (plan.loads > 0)
-        plan.worth = static_cast<double>(size) / loadTime / ratioOf(model);
+        plan.benefit = static_cast<double>(size) / loadTime / ratioOf(model);
     return plan;
 }
 
-// Gives cold idle servers of one domain to models: those first that complete a replica with few
-// loads, of a model that lacks servers. What completes none waits for more servers.
+// Assigns models to the cold idle servers of one domain: first those that complete a replica with
+// few loads, of a model below its share. Choices that complete no replica come after all that do.
 void Allocation::stageIdle(Servers idle, std::vector<StagingChoice> &choices)
 {
     const auto cold = [this](const UpstreamServer *server) { return isCold(*server); };
@@ -456,9 +466,9 @@
         if (best.model == nullptr)
             return;
         for (const UpstreamServer *member : best.members) {
-            if (!willHold(*member, best.model->model))
-                choices.push_back(
-                    { member->host, best.model->model, true, best.completes ? best.worth : 0 });
+            if (!willBeWarm(*member, best.model->model))
+                choices.push_back({ member->host, best.model->model, true,
+                                    best.completesReplica ? best.benefit : 0 });
         }
         m_serversOf[best.model->model] += static_cast<int>(best.members.size());
         const auto isTaken = [&best](const UpstreamServer *server) {
@@ -474,12 +484,12 @@
     for (const auto &[host, server] : m_input.servers) {
         if (server.service != m_input.service || server.domain.empty() || server.draining)
             continue;
-        // A member that joins stages the replica's model by that.
+        // Joining stages the replica's model on the member.
         const PlannedReplica *replica = m_plan.replicaOf(host);
         if (replica == nullptr || replica->phase == ReplicaPhase::Forming)
             continue;
-        // A host keeps few models: what is staged already is not pushed out for another.
-        if (!needsAnother(server))
+        // A host keeps few models: don't evict a staged model for another.
+        if (!hasNoAlternateModel(server))
             continue;
         const ModelProfile *best = nullptr;
         for (const ModelProfile &model : m_input.engine.models) {
@@ -495,12 +505,12 @@
 std::vector<StagingChoice> Allocation::modelsToStage() const
 {
     std::vector<StagingChoice> choices;
-    Allocation scratch = *this; // What is staged for a model counts for it.
+    Allocation scratch = *this; // Counts staged servers for their model.
     for (const auto &[domain, idle] : m_free)
         scratch.stageIdle(idle, choices);
     std::stable_sort(
         choices.begin(), choices.end(),
-        [](const StagingChoice &a, const StagingChoice &b) { return a.worth > b.worth; });
+        [](const StagingChoice &a, const StagingChoice &b) { return a.benefit > b.benefit; });
     stageInReplicas(choices);
     return choices;
 }
