--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -1,5 +1,5 @@
-// Tests of forming replicas: single decisions, and random days against an emulator of servers that
-// obey late, die, and lose the store while they serve.
+// Tests of the formation planner: single decisions, and runs with random faults against an emulator
+// of servers that carry orders out late, crash, restart, and lose the store while they serve.
 
 #include <functional>
 #include <iostream>
@@ -35,11 +35,11 @@
     return engine;
 }
 
-// A planner with its book against the emulator, as the daemon runs them.
-class Day
+// A planner with its order state against the emulator, on virtual time, as the daemon runs them.
+class Simulation
 {
 public:
-    explicit Day(std::uint64_t seed, int domains = 6, int serversPerDomain = 10)
+    explicit Simulation(std::uint64_t seed, int domains = 6, int serversPerDomain = 10)
         : engine(twoModels()), fleet(service, engine, seed), m_book({}), m_presence({})
     {
         fleet.addServers(domains, serversPerDomain);
@@ -53,7 +53,8 @@
         fleet.startTraffic();
     }
 
-    // A new planner takes over: it knows the plan and what the last one wrote down of its orders.
+    // Replaces the planner: the new one knows the plan and the pending orders that the last one
+    // stored.
     void replacePlanner()
     {
         const OrderLedger ledger = m_book.ledger(plan, fleet.now());
@@ -67,7 +68,7 @@
     {
         fleet.advance(tick);
         const MonotonicTime now = fleet.now();
-        look();
+        refreshView();
         const ServerMap &view = m_view.servers();
         m_presence.observe(m_view, now);
         m_book.observe(view, plan, now);
@@ -80,7 +81,7 @@
             m_book.sent(order, engine, now);
             m_book.answered(order, fleet.order(order), now);
         }
-        mostLoads = std::max(mostLoads, fleet.loadsInProgress());
+        maxConcurrentLoads = std::max(maxConcurrentLoads, fleet.loadsInProgress());
     }
 
     void run(Duration time)
@@ -89,7 +90,7 @@
             step();
     }
 
-    void assertSound() const
+    void assertNoViolations() const
     {
         const std::string first = fleet.violations().empty() ? "" : fleet.violations().front();
         CPPUNIT_ASSERT_EQUAL(std::string(), first);
@@ -115,10 +116,10 @@
     FleetEmulator fleet;
     ReplicaPlan plan;
     std::vector<ModelDemand> demand { { large, 0.5 }, { small, 0.5 } };
-    int mostLoads = 0;
+    int maxConcurrentLoads = 0;
 
 private:
-    void look()
+    void refreshView()
     {
         std::vector<UpstreamServer> servers;
         for (const auto &[host, server] : fleet.storeView())
@@ -152,51 +153,52 @@
 class FormationTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FormationTest);
-    CPPUNIT_TEST(everyServerServesAfterTheStart);
+    CPPUNIT_TEST(allServersServeAfterTheStart);
     CPPUNIT_TEST(smallReplicasLeaveRoomForLargeOnes);
-    CPPUNIT_TEST(limitedReplicasCountForWhatTheyAccept);
-    CPPUNIT_TEST(largeReplicasAreNotCrowdedOutByServersThatAppearInTurn);
-    CPPUNIT_TEST(lostMemberCostsOneReplicaForSeconds);
-    CPPUNIT_TEST(headThatIsCutFromTheStoreSharesNoMember);
-    CPPUNIT_TEST(replicaWhoseMembersVanishTogetherIsKept);
-    CPPUNIT_TEST(membersOutsideThePlanLeaveBeforeTheyAreReused);
-    CPPUNIT_TEST(modelThatLacksServersGetsThemFromARicherOne);
+    CPPUNIT_TEST(rateLimitedReplicasLackServers);
+    CPPUNIT_TEST(serversThatRegisterOneByOneFormLargeReplicas);
+    CPPUNIT_TEST(lostMemberBreaksOneReplicaForSeconds);
+    CPPUNIT_TEST(partitionedHeadSharesNoMember);
+    CPPUNIT_TEST(replicaWhoseMembersAllDisappearIsKept);
+    CPPUNIT_TEST(membersOfUnplannedReplicasLeaveBeforeReuse);
+    CPPUNIT_TEST(underservedModelGetsServersOfAnother);
     CPPUNIT_TEST(sharesFollowDemand);
-    CPPUNIT_TEST(lossOfOneReplicaIsBorne);
-    CPPUNIT_TEST(survivorsOfALargeReplicaAreCompleted);
-    CPPUNIT_TEST(serversThatGiveWayDoNotGoBack);
-    CPPUNIT_TEST(stagingThatCanWaitLeavesRoom);
-    CPPUNIT_TEST(loadsGoToTheModelThatLacksServers);
+    CPPUNIT_TEST(serversNeededCoverTheLossOfOneReplica);
+    CPPUNIT_TEST(survivorsFormALargeReplicaAgain);
+    CPPUNIT_TEST(donatedServersDoNotReturnToTheDonor);
+    CPPUNIT_TEST(loadsThatCanWaitLeaveStoreCapacity);
+    CPPUNIT_TEST(underservedModelIsStagedFirst);
     CPPUNIT_TEST(bothModelsKeepServingWhileServersAreReplaced);
     CPPUNIT_TEST(loadsStayWithinTheWeightStoresLimits);
     CPPUNIT_TEST(loadsStayWithinTheRateWhenPlannersChange);
-    CPPUNIT_TEST(nextPlannerLoadsBesideTheLoadsInProgress);
+    CPPUNIT_TEST(nextPlannerLoadsAlongsideLoadsInProgress);
     CPPUNIT_TEST(nextPlannerDoesNotRestartLoads);
-    CPPUNIT_TEST(ledgerIsReadAsWritten);
-    CPPUNIT_TEST(unansweredJoinsOutliveTheirPlanner);
-    CPPUNIT_TEST(silentServerIsDeadOnlyIfItsZoneAnswers);
-    CPPUNIT_TEST(replicaIsCheckedOnceInAWhileWithWitnesses);
-    CPPUNIT_TEST(modelStagedAnewIsALoadAnew);
+    CPPUNIT_TEST(pendingOrdersRoundTrip);
+    CPPUNIT_TEST(nextPlannerKnowsUnansweredJoins);
+    CPPUNIT_TEST(unresponsiveServerIsDeadOnlyIfItsZoneAnswers);
+    CPPUNIT_TEST(checkProbesReferenceServersOncePerInterval);
+    CPPUNIT_TEST(restagingAModelIsAnotherLoad);
     CPPUNIT_TEST(drainingMemberClosesItsReplica);
     CPPUNIT_TEST(nextPlannerOrdersNothingThatAlreadyHolds);
-    CPPUNIT_TEST(openFollowsTheWrittenPlan);
-    CPPUNIT_TEST(randomDaysBreakNoPromise);
-    CPPUNIT_TEST(memberThatStartsAgainIsALostMember);
-    CPPUNIT_TEST(laterLifeWaitsForJoinsToTheEarlierOne);
-    CPPUNIT_TEST(randomDaysWithRestartsBreakNoPromise);
+    CPPUNIT_TEST(onlyReadyReplicasAreOpened);
+    CPPUNIT_TEST(randomFaultsViolateNoInvariant);
+    CPPUNIT_TEST(restartedMemberIsALostMember);
+    CPPUNIT_TEST(restartedServerWaitsForJoinsToItsPredecessor);
+    CPPUNIT_TEST(randomRestartsViolateNoInvariant);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void everyServerServesAfterTheStart()
+    void allServersServeAfterTheStart()
     {
-        Day day(1);
-        day.run(std::chrono::seconds(30));
-        day.assertSound();
-        CPPUNIT_ASSERT_EQUAL(7, day.fleet.openReplicas(large));
-        CPPUNIT_ASSERT_EQUAL(16, day.fleet.openReplicas(small));
+        Simulation sim(1);
+        sim.run(std::chrono::seconds(30));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT_EQUAL(7, sim.fleet.openReplicas(large));
+        CPPUNIT_ASSERT_EQUAL(16, sim.fleet.openReplicas(small));
     }
 
-    // Hundreds of servers in domains of 19, for replicas of 8 and 4 with equal shares.
+    // Guards against small replicas that take the room of large ones: hundreds of servers in
+    // domains of 19 form replicas of 8 and 4 with equal shares.
     void smallReplicasLeaveRoomForLargeOnes()
     {
         EngineProfile engine = twoModels();
@@ -222,104 +224,109 @@
         CPPUNIT_ASSERT(count(large) * 8 + count(small) * 4 == 640);
     }
 
-    void largeReplicasAreNotCrowdedOutByServersThatAppearInTurn()
+    // Guards against small replicas that are formed out of the first servers to register, so that
+    // no domain has room for a large one.
+    void serversThatRegisterOneByOneFormLargeReplicas()
     {
-        Day day(1, 0, 0);
+        Simulation sim(1, 0, 0);
         for (int i = 0; i < 12; ++i) {
-            day.fleet.addServers(1, 1);
-            day.run(tick * 3);
+            sim.fleet.addServers(1, 1);
+            sim.run(tick * 3);
         }
-        day.run(std::chrono::seconds(30));
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) >= 1);
+        sim.run(std::chrono::seconds(30));
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) >= 1);
     }
 
-    void lostMemberCostsOneReplicaForSeconds()
+    void lostMemberBreaksOneReplicaForSeconds()
     {
-        Day day(2);
-        day.run(std::chrono::seconds(60)); // Long enough to stage the second models too.
-        day.startTraffic();
-        const int before = day.fleet.openReplicas(large);
-        day.fleet.crash(day.firstReady(large).hosts.back());
-        day.run(std::chrono::seconds(12));
-        day.assertSound();
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) >= before - 1);
-        CPPUNIT_ASSERT_EQUAL(0, day.planned(large, ReplicaPhase::Broken));
+        Simulation sim(2);
+        sim.run(std::chrono::seconds(60)); // Long enough to stage the second models too.
+        sim.startTraffic();
+        const int before = sim.fleet.openReplicas(large);
+        sim.fleet.crash(sim.firstReady(large).hosts.back());
+        sim.run(std::chrono::seconds(12));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) >= before - 1);
+        CPPUNIT_ASSERT_EQUAL(0, sim.planned(large, ReplicaPhase::Broken));
     }
 
-    void headThatIsCutFromTheStoreSharesNoMember()
+    // Guards against reuse of a member whose head can't reach the store but still serves.
+    void partitionedHeadSharesNoMember()
     {
-        Day day(3);
-        day.run(std::chrono::seconds(30));
-        const HostId head = day.firstReady(large).hosts.front();
-        day.fleet.cutFromStore(head, true);
-        day.run(std::chrono::seconds(20));
-        day.assertSound();
-        day.fleet.cutFromStore(head, false);
-        day.run(std::chrono::seconds(10));
-        day.assertSound();
+        Simulation sim(3);
+        sim.run(std::chrono::seconds(30));
+        const HostId head = sim.firstReady(large).hosts.front();
+        sim.fleet.cutFromStore(head, true);
+        sim.run(std::chrono::seconds(20));
+        sim.assertNoViolations();
+        sim.fleet.cutFromStore(head, false);
+        sim.run(std::chrono::seconds(10));
+        sim.assertNoViolations();
     }
 
-    void replicaWhoseMembersVanishTogetherIsKept()
+    // Guards against giving up a replica whose members only lost the store together.
+    void replicaWhoseMembersAllDisappearIsKept()
     {
-        Day day(4);
-        day.run(std::chrono::seconds(30));
-        const PlannedReplica replica = day.firstReady(large);
+        Simulation sim(4);
+        sim.run(std::chrono::seconds(30));
+        const PlannedReplica replica = sim.firstReady(large);
         for (const HostId &host : replica.hosts)
-            day.fleet.cutFromStore(host, true);
-        day.run(std::chrono::seconds(8));
+            sim.fleet.cutFromStore(host, true);
+        sim.run(std::chrono::seconds(8));
         // They come back one after the other.
         for (const HostId &host : replica.hosts) {
-            day.run(std::chrono::milliseconds(400));
-            day.fleet.cutFromStore(host, false);
+            sim.run(std::chrono::milliseconds(400));
+            sim.fleet.cutFromStore(host, false);
         }
-        day.run(std::chrono::seconds(1));
-        day.assertSound();
-        const PlannedReplica *kept = day.plan.find(replica.replica);
+        sim.run(std::chrono::seconds(1));
+        sim.assertNoViolations();
+        const PlannedReplica *kept = sim.plan.find(replica.replica);
         CPPUNIT_ASSERT(kept != nullptr);
         CPPUNIT_ASSERT(kept->phase == ReplicaPhase::Ready);
     }
 
-    void membersOutsideThePlanLeaveBeforeTheyAreReused()
+    // Guards against reuse of servers that still belong to a replica which the plan no longer has.
+    void membersOfUnplannedReplicasLeaveBeforeReuse()
     {
-        Day day(5);
-        day.run(std::chrono::seconds(30));
-        day.plan.replicas.clear(); // As if it had been given up while all were cut off.
-        day.run(std::chrono::seconds(20));
-        day.assertSound();
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) > 0);
+        Simulation sim(5);
+        sim.run(std::chrono::seconds(30));
+        sim.plan.replicas.clear(); // As if all had been given up while partitioned.
+        sim.run(std::chrono::seconds(20));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) > 0);
     }
 
-    void modelThatLacksServersGetsThemFromARicherOne()
+    void underservedModelGetsServersOfAnother()
     {
-        Day day(6);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
+        Simulation sim(6);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
         // One member of every large replica dies: no domain has four free servers.
         std::vector<HostId> victims;
-        for (const PlannedReplica &replica : day.plan.replicas) {
+        for (const PlannedReplica &replica : sim.plan.replicas) {
             if (replica.model == large)
                 victims.push_back(replica.hosts.back());
         }
         for (const HostId &victim : victims)
-            day.fleet.crash(victim);
-        day.run(std::chrono::seconds(20));
-        day.assertSound();
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) >= 4);
+            sim.fleet.crash(victim);
+        sim.run(std::chrono::seconds(20));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) >= 4);
     }
 
     void sharesFollowDemand()
     {
-        Day day(7);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
-        day.demand = { { large, 0.8 }, { small, 0.2 } };
-        day.run(std::chrono::seconds(60));
-        day.assertSound();
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) >= 9);
-        CPPUNIT_ASSERT(day.fleet.openReplicas(small) >= 4);
+        Simulation sim(7);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
+        sim.demand = { { large, 0.8 }, { small, 0.2 } };
+        sim.run(std::chrono::seconds(60));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) >= 9);
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(small) >= 4);
     }
 
-    void limitedReplicasCountForWhatTheyAccept()
+    void rateLimitedReplicasLackServers()
     {
         const EngineProfile profile = twoModels();
         const ModelProfile &model = *profile.find(small);
@@ -343,28 +350,29 @@
         CPPUNIT_ASSERT_EQUAL(0.0, serversWithheld(plan, model, RequestRate(10), unlimited));
     }
 
-    // A model keeps enough replicas for its work when one of them is lost; where all servers are
-    // needed for the work, the reserve gives way.
-    void lossOfOneReplicaIsBorne()
+    // Guards against a model that is left short when it loses one replica. Where all servers are
+    // needed for the work, the extra replica matters little.
+    void serversNeededCoverTheLossOfOneReplica()
     {
         const EngineProfile profile = twoModels();
-        const auto needOf = [&profile](const ModelId &model, double busy) {
+        const auto serversNeededBy = [&profile](const ModelId &model, double busy) {
             return serversNeeded(*profile.find(model), busy);
         };
         for (const ModelId &model : { large, small }) {
             const int size = profile.find(model)->serversPerReplica;
-            CPPUNIT_ASSERT(needOf(model, 3.0 * size) - size >= 3.0 * size);
+            CPPUNIT_ASSERT(serversNeededBy(model, 3.0 * size) - size >= 3.0 * size);
         }
-        // Small work: the large model gets more than its part of the work alone.
-        CPPUNIT_ASSERT(needOf(large, 4) / needOf(small, 4) > 1.2);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, needOf(large, 400) / needOf(small, 400), 0.02);
+        // Little work: the large model gets more than its share of the work.
+        CPPUNIT_ASSERT(serversNeededBy(large, 4) / serversNeededBy(small, 4) > 1.2);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, serversNeededBy(large, 400) / serversNeededBy(small, 400),
+                                     0.02);
     }
 
-    // The fifteen survivors of a replica of sixteen become one again with the servers of one small
-    // replica. Before, they were given to small replicas at once, and four of those had to end for
-    // the next large one: of six large replicas three were left after ten deaths, with an eighth
-    // of the servers idle.
-    void survivorsOfALargeReplicaAreCompleted()
+    // Guards against survivors that are given to small replicas at once: then four of those had to
+    // end for the next large one, and after ten deaths three of six large replicas were left, with
+    // an eighth of the servers idle. The fifteen survivors of a replica of sixteen must become one
+    // again with the servers of one small replica.
+    void survivorsFormALargeReplicaAgain()
     {
         EngineProfile engine = twoModels();
         engine.models[0].serversPerReplica = 16;
@@ -419,7 +427,7 @@
         };
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t(0), count(small, ReplicaPhase::Forming));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t(1), count(small, ReplicaPhase::Draining));
-        // A model that is not poorer gets no other model's servers.
+        // A model that isn't underserved gets no servers of another.
         input.demand = { { large, 0.2 }, { small, 0.8 } };
         const ReplicaPlan other = nextFormation(plan, input);
         CPPUNIT_ASSERT(std::none_of(
@@ -427,24 +435,24 @@
             [](const PlannedReplica &replica) { return replica.phase == ReplicaPhase::Draining; }));
     }
 
-    // The replicas that give way to the large model end at different times. Servers that come free
-    // first wait for the others.
-    void serversThatGiveWayDoNotGoBack()
+    // Donor replicas for the large model end at different times. Servers that become free first
+    // must be reserved for it, not formed into small replicas again.
+    void donatedServersDoNotReturnToTheDonor()
     {
-        Day day(7);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
-        day.demand = { { large, 0.8 }, { small, 0.2 } };
+        Simulation sim(7);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
+        sim.demand = { { large, 0.8 }, { small, 0.2 } };
         for (int i = 0; i < 300; ++i) {
-            day.step();
-            CPPUNIT_ASSERT_EQUAL(0, day.planned(small, ReplicaPhase::Forming));
+            sim.step();
+            CPPUNIT_ASSERT_EQUAL(0, sim.planned(small, ReplicaPhase::Forming));
         }
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) >= 9);
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) >= 9);
     }
 
-    // Loads for servers that serve already don't fill the weight store: a server that can't serve
-    // without one comes first, and finds room later too.
-    void stagingThatCanWaitLeavesRoom()
+    // Guards against loads for serving servers that use up the weight store's limits: a server that
+    // can't serve without a load comes first, and finds capacity later too.
+    void loadsThatCanWaitLeaveStoreCapacity()
     {
         const EngineProfile engine = twoModels();
         OrderBook book({});
@@ -473,94 +481,97 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), book.due(orders, engine, now).size());
     }
 
-    // Every domain has two empty servers more: pairs of the small model, which has enough, would
-    // take all loads.
-    void loadsGoToTheModelThatLacksServers()
+    // Every domain gets two more empty servers. Guards against pairs of the small model, which has
+    // enough servers, that take all loads.
+    void underservedModelIsStagedFirst()
     {
-        Day day(12);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
-        day.demand = { { large, 0.8 }, { small, 0.2 } };
-        const int before = day.fleet.openReplicas(small);
-        day.fleet.addServers(6, 2);
-        day.run(std::chrono::seconds(30));
-        day.assertSound();
-        CPPUNIT_ASSERT(day.fleet.openReplicas(small) <= before);
-        CPPUNIT_ASSERT(day.fleet.openReplicas(large) >= 9);
+        Simulation sim(12);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
+        sim.demand = { { large, 0.8 }, { small, 0.2 } };
+        const int before = sim.fleet.openReplicas(small);
+        sim.fleet.addServers(6, 2);
+        sim.run(std::chrono::seconds(30));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(small) <= before);
+        CPPUNIT_ASSERT(sim.fleet.openReplicas(large) >= 9);
     }
 
-    // For 36 s two servers of replicas die every 3 s and two empty ones appear. Half of the servers
-    // would do for the work, so neither model may fall behind for long.
+    // For 36 s two servers of replicas crash every 3 s and two empty ones register. Half of the
+    // servers are enough for the work, so neither model may fall behind for long.
     void bothModelsKeepServingWhileServersAreReplaced()
     {
         for (const std::uint64_t seed : { 21, 22, 23 }) {
-            const DayOfLosses losses = playDayOfLosses(seed);
-            CPPUNIT_ASSERT(losses.meanLarge >= 4.7);
-            CPPUNIT_ASSERT(losses.meanSmall >= 10);
-            CPPUNIT_ASSERT(losses.leastLarge >= 3);
+            const ChurnResult result = simulateChurn(seed);
+            CPPUNIT_ASSERT(result.meanLarge >= 4.7);
+            CPPUNIT_ASSERT(result.meanSmall >= 10);
+            CPPUNIT_ASSERT(result.minLarge >= 3);
         }
     }
 
     void loadsStayWithinTheWeightStoresLimits()
     {
-        Day day(8);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
-        day.mostLoads = 0;
-        day.fleet.addServers(3, 10); // All of them empty.
-        day.run(std::chrono::seconds(60));
-        CPPUNIT_ASSERT(day.mostLoads > 0);
-        CPPUNIT_ASSERT_EQUAL(day.engine.loadsAtOnce,
-                             std::max(day.engine.loadsAtOnce, day.mostLoads));
+        Simulation sim(8);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
+        sim.maxConcurrentLoads = 0;
+        sim.fleet.addServers(3, 10); // All of them empty.
+        sim.run(std::chrono::seconds(60));
+        CPPUNIT_ASSERT(sim.maxConcurrentLoads > 0);
+        CPPUNIT_ASSERT_EQUAL(sim.engine.loadsAtOnce,
+                             std::max(sim.engine.loadsAtOnce, sim.maxConcurrentLoads));
     }
 
+    // Guards against a new planner that ignores the loads its predecessor started.
     void loadsStayWithinTheRateWhenPlannersChange()
     {
-        Day day(8);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
-        day.fleet.addServers(3, 10); // All of them empty.
+        Simulation sim(8);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
+        sim.fleet.addServers(3, 10); // All of them empty.
         for (int i = 0; i < 8; ++i) {
-            day.run(std::chrono::milliseconds(700));
-            day.replacePlanner();
+            sim.run(std::chrono::milliseconds(700));
+            sim.replacePlanner();
         }
-        day.run(std::chrono::seconds(30));
-        const int most = day.fleet.mostLoadsWithin(std::chrono::seconds(5));
+        sim.run(std::chrono::seconds(30));
+        const int most = sim.fleet.mostLoadsWithin(std::chrono::seconds(5));
         CPPUNIT_ASSERT(most > 0);
         CPPUNIT_ASSERT(most <= 25);
     }
 
-    // The next planner goes on loading at once, beside what the last one began.
-    void nextPlannerLoadsBesideTheLoadsInProgress()
+    // Guards against a planner that waits until its predecessor's loads end: it must start more at
+    // once, up to the limit.
+    void nextPlannerLoadsAlongsideLoadsInProgress()
     {
-        Day day(8);
-        day.run(std::chrono::seconds(60));
-        day.startTraffic();
-        day.fleet.addServers(2, 2); // Four loads, of seven at once.
-        day.run(std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(4, day.fleet.loadsInProgress());
-        day.replacePlanner();
-        day.fleet.addServers(3, 2);
-        day.run(std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(day.engine.loadsAtOnce, day.fleet.loadsInProgress());
+        Simulation sim(8);
+        sim.run(std::chrono::seconds(60));
+        sim.startTraffic();
+        sim.fleet.addServers(2, 2); // Four loads, of seven at once.
+        sim.run(std::chrono::seconds(1));
+        CPPUNIT_ASSERT_EQUAL(4, sim.fleet.loadsInProgress());
+        sim.replacePlanner();
+        sim.fleet.addServers(3, 2);
+        sim.run(std::chrono::seconds(1));
+        CPPUNIT_ASSERT_EQUAL(sim.engine.loadsAtOnce, sim.fleet.loadsInProgress());
     }
 
-    // Nor does it order anew what its predecessor ordered: the load would begin again.
+    // Guards against a planner that repeats its predecessor's orders to stage: the load would start
+    // over.
     void nextPlannerDoesNotRestartLoads()
     {
-        Day day(8, 1, 4);
-        day.startTraffic();
-        const auto loads = [&day] { return day.fleet.mostLoadsWithin(std::chrono::minutes(1)); };
+        Simulation sim(8, 1, 4);
+        sim.startTraffic();
+        const auto loads = [&sim] { return sim.fleet.mostLoadsWithin(std::chrono::minutes(1)); };
         for (int i = 0; i < 300 && loads() <= 4; ++i)
-            day.step(); // Until servers that serve stage a second model.
+            sim.step(); // Until serving servers stage a second model.
         const int before = loads();
         CPPUNIT_ASSERT(before > 4);
-        day.replacePlanner();
-        day.run(std::chrono::seconds(2));
+        sim.replacePlanner();
+        sim.run(std::chrono::seconds(2));
         CPPUNIT_ASSERT_EQUAL(before, loads());
     }
 
-    void ledgerIsReadAsWritten()
+    void pendingOrdersRoundTrip()
     {
         const OrderLedger ledger { { { HostId("a"), large }, { HostId("b"), small } },
                                    { { HostId("c"), ReplicaId("r") } } };
@@ -570,11 +581,11 @@
             CPPUNIT_ASSERT(!parseLedger(damaged).ok());
     }
 
-    // A join without an answer brought its server back into a replica whose head served behind a
-    // cut, after the planner had changed.
-    void unansweredJoinsOutliveTheirPlanner() { assertSoundDay(3554015); }
+    // With this seed an unanswered join brought its server back into a replica whose partitioned
+    // head still served, after the planner had changed.
+    void nextPlannerKnowsUnansweredJoins() { assertNoViolationsFor(3554015); }
 
-    void silentServerIsDeadOnlyIfItsZoneAnswers()
+    void unresponsiveServerIsDeadOnlyIfItsZoneAnswers()
     {
         const DeathWatchOptions options;
         DeathWatch watch(options);
@@ -584,17 +595,17 @@
         watch.silent(silent, now);
         now += std::chrono::milliseconds(300);
         watch.silent(silent, now);
-        CPPUNIT_ASSERT(watch.dead(servers, now).empty()); // The planner may be cut off.
+        CPPUNIT_ASSERT(watch.dead(servers, now).empty()); // The planner may be partitioned.
         watch.answered(HostId("b-0"), now);
         CPPUNIT_ASSERT(watch.dead(servers, now) == std::set<HostId> { silent });
         CPPUNIT_ASSERT(watch.dead(servers, now + options.verdictLifetime).empty());
         watch.answered(silent, now);
         CPPUNIT_ASSERT(watch.dead(servers, now).empty());
-        watch.silent(silent, now); // Once is not enough.
+        watch.silent(silent, now); // One unanswered probe is not enough.
         CPPUNIT_ASSERT(watch.dead(servers, now).empty());
     }
 
-    void replicaIsCheckedOnceInAWhileWithWitnesses()
+    void checkProbesReferenceServersOncePerInterval()
     {
         const DeathWatchOptions options;
         DeathWatch watch(options);
@@ -611,8 +622,9 @@
         CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now + options.checkInterval) == asked);
     }
 
-    // A server's staged model is pushed out by another one; staging it again loads again.
-    void modelStagedAnewIsALoadAnew()
+    // A server's staged model is evicted by another one; staging it again is another load and
+    // counts against the limits.
+    void restagingAModelIsAnotherLoad()
     {
         const EngineProfile engine = twoModels();
         OrderBook book({});
@@ -648,37 +660,39 @@
 
     void drainingMemberClosesItsReplica()
     {
-        Day day(9);
-        day.run(std::chrono::seconds(30));
-        const PlannedReplica replica = day.firstReady(small);
-        day.fleet.drain(replica.hosts.back());
-        day.step();
-        CPPUNIT_ASSERT(day.plan.find(replica.replica)->phase == ReplicaPhase::Draining);
-        day.run(std::chrono::seconds(5));
-        CPPUNIT_ASSERT(day.plan.find(replica.replica) == nullptr);
-        day.assertSound();
+        Simulation sim(9);
+        sim.run(std::chrono::seconds(30));
+        const PlannedReplica replica = sim.firstReady(small);
+        sim.fleet.drain(replica.hosts.back());
+        sim.step();
+        CPPUNIT_ASSERT(sim.plan.find(replica.replica)->phase == ReplicaPhase::Draining);
+        sim.run(std::chrono::seconds(5));
+        CPPUNIT_ASSERT(sim.plan.find(replica.replica) == nullptr);
+        sim.assertNoViolations();
     }
 
+    // Guards against a new planner that forms replicas again which are open already.
     void nextPlannerOrdersNothingThatAlreadyHolds()
     {
-        Day day(10);
-        day.run(std::chrono::seconds(60));
-        const Epoch epoch = day.plan.epoch;
-        day.replacePlanner();
-        day.startTraffic();
-        day.run(std::chrono::seconds(10));
-        CPPUNIT_ASSERT_EQUAL(epoch, day.plan.epoch);
-        CPPUNIT_ASSERT_EQUAL(7, day.fleet.openReplicas(large));
+        Simulation sim(10);
+        sim.run(std::chrono::seconds(60));
+        const Epoch epoch = sim.plan.epoch;
+        sim.replacePlanner();
+        sim.startTraffic();
+        sim.run(std::chrono::seconds(10));
+        CPPUNIT_ASSERT_EQUAL(epoch, sim.plan.epoch);
+        CPPUNIT_ASSERT_EQUAL(7, sim.fleet.openReplicas(large));
     }
 
-    // A replica that is Forming in the stored plan was never told to open: its servers are free.
-    void openFollowsTheWrittenPlan()
+    // Guards against an order to open before the plan with the Ready replica is stored: the servers
+    // of a Forming replica are reused at once when it fails.
+    void onlyReadyReplicasAreOpened()
     {
-        Day day(11);
+        Simulation sim(11);
         for (int i = 0; i < 600; ++i) {
-            day.step();
-            const ServerMap view = day.fleet.storeView();
-            for (const PlannedReplica &replica : day.plan.replicas) {
+            sim.step();
+            const ServerMap view = sim.fleet.storeView();
+            for (const PlannedReplica &replica : sim.plan.replicas) {
                 if (replica.phase != ReplicaPhase::Forming)
                     continue;
                 const auto head = view.find(replica.hosts.front());
@@ -689,39 +703,40 @@
         }
     }
 
-    void randomDaysBreakNoPromise()
+    void randomFaultsViolateNoInvariant()
     {
-        const bool sound = rc::check("no promise is broken on any day", [] {
+        const bool isValid = rc::check("random faults violate no invariant", [] {
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-            const std::vector<std::string> violations = playRandomDay(seed);
+            const std::vector<std::string> violations = runRandomFaults(seed);
             if (!violations.empty())
                 RC_FAIL(violations.front());
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(isValid);
     }
 
-    // Its entry never vanishes, and yet its replica is broken: the new life knows nothing of it.
-    void memberThatStartsAgainIsALostMember()
+    // The entry of a restarted member never disappears, yet its replica is broken: the new
+    // incarnation knows nothing of it.
+    void restartedMemberIsALostMember()
     {
-        Day day(11);
-        day.run(std::chrono::seconds(15));
-        day.startTraffic();
-        day.run(std::chrono::seconds(2));
-        const PlannedReplica before = day.firstReady(large);
+        Simulation sim(11);
+        sim.run(std::chrono::seconds(15));
+        sim.startTraffic();
+        sim.run(std::chrono::seconds(2));
+        const PlannedReplica before = sim.firstReady(large);
         const HostId earlier = before.hosts.back();
-        const HostId later = day.fleet.restart(earlier);
-        day.run(tick);
-        const PlannedReplica *after = day.plan.find(before.replica);
+        const HostId later = sim.fleet.restart(earlier);
+        sim.run(tick);
+        const PlannedReplica *after = sim.plan.find(before.replica);
         CPPUNIT_ASSERT(after == nullptr || after->phase != ReplicaPhase::Ready);
-        day.run(std::chrono::seconds(30));
-        day.assertSound();
-        CPPUNIT_ASSERT(day.plan.replicaOf(earlier) == nullptr);
-        CPPUNIT_ASSERT(day.plan.replicaOf(later) != nullptr);
-        CPPUNIT_ASSERT_EQUAL(7, day.fleet.openReplicas(large));
+        sim.run(std::chrono::seconds(30));
+        sim.assertNoViolations();
+        CPPUNIT_ASSERT(sim.plan.replicaOf(earlier) == nullptr);
+        CPPUNIT_ASSERT(sim.plan.replicaOf(later) != nullptr);
+        CPPUNIT_ASSERT_EQUAL(7, sim.fleet.openReplicas(large));
     }
 
-    // A join to the earlier life may be carried out by the later one.
-    void laterLifeWaitsForJoinsToTheEarlierOne()
+    // A join sent to the earlier incarnation may be carried out by the later one.
+    void restartedServerWaitsForJoinsToItsPredecessor()
     {
         OrderBook book({});
         const MonotonicTime now(std::chrono::seconds(100));
@@ -740,19 +755,19 @@
         CPPUNIT_ASSERT(book.unusable(servers, now + OrderBookOptions().lateJoinWindow).empty());
     }
 
-    void randomDaysWithRestartsBreakNoPromise()
+    void randomRestartsViolateNoInvariant()
     {
-        const bool sound = rc::check("days on which servers start again break no promise", [] {
+        const bool isValid = rc::check("random faults and restarts violate no invariant", [] {
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-            const std::vector<std::string> violations = playDayOfRestarts(seed);
+            const std::vector<std::string> violations = runRandomFaultsAndRestarts(seed);
             if (!violations.empty())
                 RC_FAIL(violations.front());
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(isValid);
     }
 
 private:
-    // Of one zone; and one of a plain service.
+    // Six servers of one zone, in two domains, and one of a plain service.
     static ServerMap serversInTwoDomains()
     {
         ServerMap servers;
@@ -765,116 +780,117 @@
         return servers;
     }
 
-    struct DayOfLosses
+    struct ChurnResult
     {
-        double meanLarge = 0; // Open replicas, over the time.
+        double meanLarge = 0; // Open replicas, mean over time.
         double meanSmall = 0;
-        int leastLarge = 0;
+        int minLarge = 0;
     };
 
-    static DayOfLosses playDayOfLosses(std::uint64_t seed)
+    static ChurnResult simulateChurn(std::uint64_t seed)
     {
-        Day day(seed);
+        Simulation sim(seed);
         Random random(seed);
-        day.run(std::chrono::seconds(10));
-        day.startTraffic();
-        DayOfLosses losses;
-        losses.leastLarge = day.fleet.openReplicas(large);
+        sim.run(std::chrono::seconds(10));
+        sim.startTraffic();
+        ChurnResult result;
+        result.minLarge = sim.fleet.openReplicas(large);
         constexpr int rounds = 12;
         constexpr int ticksPerRound = 30;
         for (int round = 0; round < rounds; ++round) {
             for (int i = 0; i < 2; ++i) {
-                const auto &replicas = day.plan.replicas;
+                const auto &replicas = sim.plan.replicas;
                 const auto &hosts = replicas[random.below(replicas.size())].hosts;
-                day.fleet.crash(hosts[random.below(hosts.size())]);
+                sim.fleet.crash(hosts[random.below(hosts.size())]);
             }
-            day.fleet.addServer(static_cast<int>(random.below(6)));
-            day.fleet.addServer(static_cast<int>(random.below(6)));
+            sim.fleet.addServer(static_cast<int>(random.below(6)));
+            sim.fleet.addServer(static_cast<int>(random.below(6)));
             for (int i = 0; i < ticksPerRound; ++i) {
-                day.step();
-                const int open = day.fleet.openReplicas(large);
-                losses.meanLarge += open;
-                losses.meanSmall += day.fleet.openReplicas(small);
-                losses.leastLarge = std::min(losses.leastLarge, open);
+                sim.step();
+                const int open = sim.fleet.openReplicas(large);
+                result.meanLarge += open;
+                result.meanSmall += sim.fleet.openReplicas(small);
+                result.minLarge = std::min(result.minLarge, open);
             }
         }
-        day.assertSound();
+        sim.assertNoViolations();
         constexpr int ticks = rounds * ticksPerRound;
-        losses.meanLarge /= ticks;
-        losses.meanSmall /= ticks;
-        return losses;
+        result.meanLarge /= ticks;
+        result.meanSmall /= ticks;
+        return result;
     }
 
-    static void assertSoundDay(std::uint64_t seed)
+    static void assertNoViolationsFor(std::uint64_t seed)
     {
-        const std::vector<std::string> violations = playRandomDay(seed);
+        const std::vector<std::string> violations = runRandomFaults(seed);
         CPPUNIT_ASSERT_EQUAL(std::string(), violations.empty() ? "" : violations.front());
     }
 
-    using Trouble = std::function<void(Day &, Random &, std::vector<HostId> &cut)>;
+    using Fault = std::function<void(Simulation &, Random &, std::vector<HostId> &partitioned)>;
 
-    // What broke a promise.
-    static std::vector<std::string> playRandomDay(std::uint64_t seed)
+    // Returns the emulator's violations.
+    static std::vector<std::string> runRandomFaults(std::uint64_t seed)
     {
-        return playDay(seed, disturb);
+        return runWithFaults(seed, injectRandomFault);
     }
 
-    // Between those troubles servers start again: idle ones, members and heads, in the middle of
-    // joins and with orders to their earlier life under way.
-    static std::vector<std::string> playDayOfRestarts(std::uint64_t seed)
+    // Like runRandomFaults(), with restarts of servers in between: idle ones, members and heads, in
+    // the middle of joins and with orders to their earlier incarnation under way.
+    static std::vector<std::string> runRandomFaultsAndRestarts(std::uint64_t seed)
     {
-        return playDay(seed, [](Day &day, Random &random, std::vector<HostId> &cut) {
-            const std::vector<HostId> hosts = day.fleet.liveHosts();
-            if (random.below(2) == 0 && !hosts.empty())
-                day.fleet.restart(hosts[random.below(hosts.size())]);
-            else
-                disturb(day, random, cut);
-        });
+        return runWithFaults(seed,
+                             [](Simulation &sim, Random &random, std::vector<HostId> &partitioned) {
+                                 const std::vector<HostId> hosts = sim.fleet.liveHosts();
+                                 if (random.below(2) == 0 && !hosts.empty())
+                                     sim.fleet.restart(hosts[random.below(hosts.size())]);
+                                 else
+                                     injectRandomFault(sim, random, partitioned);
+                             });
     }
 
-    static std::vector<std::string> playDay(std::uint64_t seed, const Trouble &trouble)
+    static std::vector<std::string> runWithFaults(std::uint64_t seed, const Fault &injectFault)
     {
         Random random(seed);
-        Day day(random.next(), 2 + static_cast<int>(random.below(2)), 6);
-        day.fleet.setWeather({ random.fraction() * 0.4, random.fraction() * 0.2 });
-        day.run(std::chrono::seconds(15));
-        day.startTraffic();
-        std::vector<HostId> cut;
+        Simulation sim(random.next(), 2 + static_cast<int>(random.below(2)), 6);
+        sim.fleet.setWeather({ random.fraction() * 0.4, random.fraction() * 0.2 });
+        sim.run(std::chrono::seconds(15));
+        sim.startTraffic();
+        std::vector<HostId> partitioned;
         for (int i = 0; i < 12; ++i) {
-            trouble(day, random, cut);
-            day.run(Milliseconds(200 + random.below(4000)));
+            injectFault(sim, random, partitioned);
+            sim.run(Milliseconds(200 + random.below(4000)));
         }
-        for (const HostId &host : cut)
-            day.fleet.cutFromStore(host, false);
-        day.fleet.setWeather({});
-        day.run(std::chrono::seconds(30));
-        return day.fleet.violations();
+        for (const HostId &host : partitioned)
+            sim.fleet.cutFromStore(host, false);
+        sim.fleet.setWeather({});
+        sim.run(std::chrono::seconds(30));
+        return sim.fleet.violations();
     }
 
-    static void disturb(Day &day, Random &random, std::vector<HostId> &cut)
+    static void injectRandomFault(Simulation &sim, Random &random, std::vector<HostId> &partitioned)
     {
-        const std::vector<HostId> hosts = day.fleet.liveHosts();
+        const std::vector<HostId> hosts = sim.fleet.liveHosts();
         if (hosts.empty())
             return;
         const HostId &host = hosts[random.below(hosts.size())];
         switch (random.below(6)) {
         case 0:
-            day.fleet.crash(host);
+            sim.fleet.crash(host);
             return;
         case 1:
         case 2:
-            cut.push_back(host);
-            day.fleet.cutFromStore(host, true);
+            partitioned.push_back(host);
+            sim.fleet.cutFromStore(host, true);
             return;
         case 3:
-            if (!cut.empty())
-                day.fleet.cutFromStore(cut[random.below(cut.size())], false);
+            if (!partitioned.empty())
+                sim.fleet.cutFromStore(partitioned[random.below(partitioned.size())], false);
             return;
         case 4:
-            day.fleet.drain(host);
+            sim.fleet.drain(host);
             return;
         default:
-            day.replacePlanner();
+            sim.replacePlanner();
         }
     }
 };
