--- a/ramphinge/fleet/fleet_test.cpp
+++ b/ramphinge/fleet/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the view of upstream servers: whom to believe gone.
+// Tests of the view of upstream servers: which servers are retained, and which incarnation counts.
 
 #include "ramphinge/fleet/fleet_view.h"
 #include "ramphinge/testing/cppunit_main.h"
@@ -19,20 +19,20 @@
 class FleetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FleetTest);
-    CPPUNIT_TEST(vanishedEntryIsGoneAtOnce);
-    CPPUNIT_TEST(entryThatLapsedWithTheStoreGetsTimeToComeBack);
-    CPPUNIT_TEST(freshListReplacesAll);
-    CPPUNIT_TEST(lastModelOutlivesTheReplica);
-    CPPUNIT_TEST(incarnationsSurviveTheirHostId);
-    CPPUNIT_TEST(laterLifeEndsTheEarlierOne);
-    CPPUNIT_TEST(earlierLifeThatComesLateChangesNothing);
-    CPPUNIT_TEST(restartBehindAnOutageIsNoServerThatIsBack);
-    CPPUNIT_TEST(listWithALaterLifeReplacesTheEarlierOne);
-    CPPUNIT_TEST(markedServerDrainsUntilItsNextEntry);
+    CPPUNIT_TEST(removedServerIsGoneAtOnce);
+    CPPUNIT_TEST(serverIsRetainedAfterAStoreOutage);
+    CPPUNIT_TEST(listReplacesAllServers);
+    CPPUNIT_TEST(lastModelIsKeptAfterLeavingTheReplica);
+    CPPUNIT_TEST(hostIdsRoundTrip);
+    CPPUNIT_TEST(laterIncarnationReplacesTheEarlierOne);
+    CPPUNIT_TEST(outdatedIncarnationIsIgnored);
+    CPPUNIT_TEST(serverRestartedDuringAnOutageReplacesTheRetainedOne);
+    CPPUNIT_TEST(listedLaterIncarnationReplacesTheRetainedOne);
+    CPPUNIT_TEST(markedServerDrainsUntilNextEntry);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void vanishedEntryIsGoneAtOnce()
+    void removedServerIsGoneAtOnce()
     {
         ManualClock clock;
         FleetView fleet;
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(!fleet.remove(ServerName("a"), clock.now()));
     }
 
-    void markedServerDrainsUntilItsNextEntry()
+    void markedServerDrainsUntilNextEntry()
     {
         FleetView fleet;
         fleet.put(server("a"));
@@ -58,7 +58,7 @@
         CPPUNIT_ASSERT(!fleet.find(HostId("a"))->draining);
     }
 
-    void entryThatLapsedWithTheStoreGetsTimeToComeBack()
+    void serverIsRetainedAfterAStoreOutage()
     {
         ManualClock clock;
         FleetView fleet;
@@ -78,13 +78,13 @@
         CPPUNIT_ASSERT(fleet.find(HostId("lost")) == nullptr);
     }
 
-    void lastModelOutlivesTheReplica()
+    void lastModelIsKeptAfterLeavingTheReplica()
     {
         FleetView fleet;
         UpstreamServer entry = server("a");
         entry.model = ModelId("m");
         fleet.put(entry);
-        entry.model = ModelId(); // It has left its replica.
+        entry.model = ModelId(); // It left its replica.
         entry.stagedModels = { ModelId("n") };
         fleet.put(entry);
         const UpstreamServer *seen = fleet.find(HostId("a"));
@@ -93,7 +93,7 @@
         CPPUNIT_ASSERT(!seen->isWarmFor(ModelId("o")));
     }
 
-    void freshListReplacesAll()
+    void listReplacesAllServers()
     {
         ManualClock clock;
         FleetView fleet;
@@ -105,7 +105,7 @@
         CPPUNIT_ASSERT(fleet.find(HostId("c")) != nullptr);
     }
 
-    void incarnationsSurviveTheirHostId()
+    void hostIdsRoundTrip()
     {
         for (const char *name : { "i-7", "a@b", "a@12", "@", "x@" }) {
             for (const int start : { 0, 5 }) {
@@ -118,8 +118,9 @@
         CPPUNIT_ASSERT_EQUAL(HostId("i-7"), hostIdOf({ ServerName("i-7"), {} }));
     }
 
-    // What was known of the earlier life, such as its last model, is not the later one's.
-    void laterLifeEndsTheEarlierOne()
+    // Guards against data of the earlier incarnation, such as its last model, that is taken for the
+    // later one's.
+    void laterIncarnationReplacesTheEarlierOne()
     {
         FleetView fleet;
         UpstreamServer entry = server("a@5");
@@ -134,14 +135,14 @@
         CPPUNIT_ASSERT(fleet.servers().empty());
     }
 
-    void earlierLifeThatComesLateChangesNothing()
+    void outdatedIncarnationIsIgnored()
     {
         ManualClock clock;
         FleetView fleet;
         fleet.put(server("a@9"));
         const std::uint64_t before = fleet.generation();
         CPPUNIT_ASSERT(fleet.put(server("a@5")) == PutOutcome::Outdated);
-        CPPUNIT_ASSERT(fleet.put(server("a")) == PutOutcome::Outdated); // It doesn't say any more.
+        CPPUNIT_ASSERT(fleet.put(server("a")) == PutOutcome::Outdated); // No start time.
         CPPUNIT_ASSERT_EQUAL(before, fleet.generation());
         fleet.remove(ServerName("a"), clock.now());
         CPPUNIT_ASSERT(fleet.put(server("a@5")) == PutOutcome::Outdated);
@@ -149,13 +150,13 @@
         CPPUNIT_ASSERT(fleet.put(server("a@9")) == PutOutcome::Taken);
     }
 
-    void restartBehindAnOutageIsNoServerThatIsBack()
+    void serverRestartedDuringAnOutageReplacesTheRetainedOne()
     {
         ManualClock clock;
         FleetView fleet;
         fleet.put(server("a@5"));
         fleet.storeReturned(clock.now() + std::chrono::seconds(2));
-        CPPUNIT_ASSERT(!fleet.remove(ServerName("a"), clock.now())); // Kept: it may be back.
+        CPPUNIT_ASSERT(!fleet.remove(ServerName("a"), clock.now())); // Retained: it may come back.
         CPPUNIT_ASSERT(fleet.put(server("a@9")) == PutOutcome::Restarted);
         clock.advance(std::chrono::seconds(3));
         CPPUNIT_ASSERT(fleet.expire(clock.now()).empty());
@@ -163,7 +164,7 @@
         CPPUNIT_ASSERT(fleet.find(HostId("a@9")) != nullptr);
     }
 
-    void listWithALaterLifeReplacesTheEarlierOne()
+    void listedLaterIncarnationReplacesTheRetainedOne()
     {
         ManualClock clock;
         FleetView fleet;
--- a/ramphinge/fleet/fleet_view.cpp
+++ b/ramphinge/fleet/fleet_view.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Starts that are remembered of names, beyond those of present servers: some hundred names come and
-// go in a day.
-constexpr std::size_t mostStarts = 8192;
+// Bound on the start times that are remembered of names, beyond those of present servers: a few
+// hundred names come and go in a day.
+constexpr std::size_t maxRememberedStarts = 8192;
 
 } // namespace
 
@@ -26,8 +26,8 @@
 void FleetView::erase(const HostId &host)
 {
     m_servers.erase(host);
-    m_missing.erase(host);
-    m_lives.erase(incarnationOf(host).name);
+    m_retained.erase(host);
+    m_incarnations.erase(incarnationOf(host).name);
     ++m_generation;
 }
 
@@ -37,17 +37,18 @@
     if (isOutdated(incarnation))
         return PutOutcome::Outdated;
     PutOutcome outcome = PutOutcome::Taken;
-    const auto life = m_lives.find(incarnation.name);
-    if (life != m_lives.end() && life->second != server.host) {
-        erase(HostId(life->second));
+    const auto current = m_incarnations.find(incarnation.name);
+    if (current != m_incarnations.end() && current->second != server.host) {
+        erase(HostId(current->second));
         outcome = PutOutcome::Restarted;
     }
-    if (m_latestStarts.size() >= mostStarts)
-        eraseIf(m_latestStarts, [this](const auto &entry) { return !m_lives.count(entry.first); });
+    if (m_latestStarts.size() >= maxRememberedStarts)
+        eraseIf(m_latestStarts,
+                [this](const auto &entry) { return !m_incarnations.count(entry.first); });
     if (incarnation.startedAt != StartTime())
         m_latestStarts[incarnation.name] = incarnation.startedAt;
-    m_missing.erase(server.host);
-    m_lives[incarnation.name] = server.host;
+    m_retained.erase(server.host);
+    m_incarnations[incarnation.name] = server.host;
     UpstreamServer &present = m_servers[server.host];
     server.lastModel = server.model.empty() ? present.lastModel : server.model;
     present = std::move(server);
@@ -67,29 +68,29 @@
 
 bool FleetView::remove(const ServerName &name, MonotonicTime now)
 {
-    const auto life = m_lives.find(name);
-    if (life == m_lives.end())
+    const auto current = m_incarnations.find(name);
+    if (current == m_incarnations.end())
         return false;
     if (now < m_graceEnd) {
-        m_missing.emplace(life->second, m_graceEnd);
+        m_retained.emplace(current->second, m_graceEnd);
         return false;
     }
-    erase(HostId(life->second));
+    erase(HostId(current->second));
     return true;
 }
 
 bool FleetView::drop(const ServerName &name)
 {
-    const auto life = m_lives.find(name);
-    if (life == m_lives.end())
+    const auto current = m_incarnations.find(name);
+    if (current == m_incarnations.end())
         return false;
-    erase(HostId(life->second));
+    erase(HostId(current->second));
     return true;
 }
 
 void FleetView::keepMissing(MonotonicTime until)
 {
-    for (auto &[host, end] : m_missing)
+    for (auto &[host, end] : m_retained)
         end = std::max(end, until);
 }
 
@@ -100,19 +101,19 @@
         listed.insert(incarnationOf(server.host).name);
         put(std::move(server));
     }
-    std::vector<ServerName> vanished;
-    for (const auto &[name, host] : m_lives) {
+    std::vector<ServerName> unlisted;
+    for (const auto &[name, host] : m_incarnations) {
         if (listed.count(name) == 0)
-            vanished.push_back(name);
+            unlisted.push_back(name);
     }
-    for (const ServerName &name : vanished)
+    for (const ServerName &name : unlisted)
         remove(name, now);
 }
 
 std::vector<HostId> FleetView::expire(MonotonicTime now)
 {
     std::vector<HostId> gone;
-    for (const auto &[host, until] : m_missing) {
+    for (const auto &[host, until] : m_retained) {
         if (now >= until)
             gone.push_back(host);
     }
--- a/ramphinge/fleet/fleet_view.h
+++ b/ramphinge/fleet/fleet_view.h
@@ -1,11 +1,12 @@
-// The servers that the daemon believes in, from the store's entries.
+// The daemon's view of the upstream servers, built from the store's entries.
 //
-// A server's entry lapses when the server is silent, but also when the store itself was away. So an
-// entry that vanishes within `returnGrace` after the store came back is kept until the grace has
-// passed: a live server is back by then, and only one that is still missing is taken for gone.
+// A server's entry lapses when the server stops renewing it, but also when the store itself was
+// unavailable. So a server whose entry disappears shortly after the store is back is retained until
+// a grace period ends: a live server has registered again by then, and only one that is still
+// missing is taken for gone.
 //
-// Of each server's name there is one life in the view, the latest one that was seen. One that comes
-// under the name of another ends it at once: the earlier life is gone, whatever was kept of it.
+// The view holds one incarnation per server name, the latest one seen. A later incarnation replaces
+// the earlier one at once, even a retained one.
 //
 //   fleet.put(server);
 //   fleet.remove(name, clock.now());
@@ -24,11 +25,11 @@
 
 using ServerMap = std::map<HostId, UpstreamServer>;
 
-// What an entry was to the view.
+// What became of an entry.
 enum class PutOutcome {
-    Taken, // New, or of the life that was there.
-    Restarted, // Of a later life than the one that was there, which is gone.
-    Outdated, // Of an earlier life than one that was seen: not taken.
+    Taken, // Stored: new, or of the incarnation in the view.
+    Restarted, // Stored: it replaced another incarnation, which is gone.
+    Outdated, // Ignored: a later incarnation was seen before.
 };
 
 // Not thread-safe: lives on the request loop.
@@ -37,31 +38,34 @@
 public:
     FleetView() = default;
 
-    // A new or changed entry. What it no longer tells of the server's last model is kept.
+    // Stores a new or changed entry. The incarnation's last model is kept when the entry names
+    // none.
     PutOutcome put(UpstreamServer server);
 
-    // The server said otherwise than by its entry that it leaves. Until the next entry; true if it
-    // was not known.
+    // The server announced by other means than its entry that it leaves. Holds until its next
+    // entry. Returns whether this changed the view.
     bool markDraining(const HostId &host);
 
-    // The entry has vanished. True if the server is gone at once.
+    // The entry has disappeared. Returns true if the server is gone at once, false if it is
+    // retained or was not in the view.
     bool remove(const ServerName &name, MonotonicTime now);
 
-    // The entry names no server any more, whatever it did before: gone at once, and not kept. False
-    // if there was none.
+    // The entry names no server any more: the server is gone at once and isn't retained. Returns
+    // false if it was not in the view.
     bool drop(const ServerName &name);
 
-    // The store answers again after it did not. Entries that vanish until `graceEnd` may have
-    // lapsed meanwhile, though their servers live: these are kept until then.
+    // The store is available again. Entries that disappear until `graceEnd` may have lapsed during
+    // the outage though their servers live: they are retained until then.
     void storeReturned(MonotonicTime graceEnd) { m_graceEnd = graceEnd; }
 
-    // Nothing could be heard of the servers that are kept now: they are until then at least.
+    // Extends the time of the servers that are retained now to `until` at least, since their
+    // entries could not be read meanwhile.
     void keepMissing(MonotonicTime until);
 
-    // A fresh list of all entries: whatever is not in it has vanished.
+    // Applies a full list of entries: those that are not in it have disappeared.
     void replaceAll(std::vector<UpstreamServer> servers, MonotonicTime now);
 
-    // Takes out the servers whose grace has passed; returns them.
+    // Removes retained servers whose time is up, and returns them.
     std::vector<HostId> expire(MonotonicTime now);
 
     const ServerMap &servers() const { return m_servers; }
@@ -76,11 +80,11 @@
 
     MonotonicTime m_graceEnd;
     ServerMap m_servers;
-    std::map<ServerName, HostId> m_lives; // Exactly those of m_servers.
-    // The latest start that was seen of each name that said one, also of names that are gone: an
-    // older entry may come late. Bounded, see the source.
+    std::map<ServerName, HostId> m_incarnations; // Exactly the servers in m_servers.
+    // The latest start time seen of each name that had one, also of names that are gone: an older
+    // entry may arrive late. Bounded by maxRememberedStarts.
     std::map<ServerName, StartTime> m_latestStarts;
-    std::map<HostId, MonotonicTime> m_missing; // Still in m_servers; until when.
+    std::map<HostId, MonotonicTime> m_retained; // Retained in m_servers; until when.
     std::uint64_t m_generation = 0;
 };
 
--- a/ramphinge/fleet/incarnation.cpp
+++ b/ramphinge/fleet/incarnation.cpp
@@ -1,4 +1,4 @@
-// Lives of servers: see incarnation.h.
+// Encoding of incarnations as host IDs: see incarnation.h.
 
 #include "ramphinge/fleet/incarnation.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr char separator = '@'; // Between the name and the start.
+constexpr char separator = '@'; // Between the name and the start time.
 
 } // namespace
 
--- a/ramphinge/fleet/incarnation.h
+++ b/ramphinge/fleet/incarnation.h
@@ -1,9 +1,10 @@
-// One life of a server: the name under which it is addressed, and when that life began.
+// One incarnation of a server: the name under which it is addressed, and the start time of its
+// process.
 //
-// A server may start again under the name that it had. It then holds and knows nothing of before,
-// and whatever was learned of it, ordered from it or planned with it belongs to the earlier life.
-// So everything inside keeps servers by HostId, which names one life; the name alone is used only
-// where somebody outside is spoken to, and to find out which life an entry of the store is of.
+// A server may restart under the same name. It then has none of its earlier state, and whatever was
+// learned of it, ordered from it or planned with it belongs to the earlier incarnation. So servers
+// are identified by HostId, which names one incarnation; the name alone is used only on the wire,
+// and to find the incarnation that an entry of the store belongs to.
 //
 //   const HostId host = hostIdOf({ ServerName("i-7"), startedAt });
 //   const ServerName name = incarnationOf(host).name; // For the wire.
@@ -17,8 +18,9 @@
 
 namespace ramphinge {
 
-using ServerName = Id<struct ServerNameTag>; // Stays the same over restarts.
-// Unix milliseconds; 0 if the server doesn't say. Of two lives of a name the later one is valid.
+using ServerName = Id<struct ServerNameTag>; // Stays the same across restarts.
+// Unix time in milliseconds; 0 if the server doesn't report it. Of two incarnations under one name
+// the later one is valid.
 using StartTime = Quantity<struct StartTimeTag>;
 
 struct Incarnation
@@ -27,7 +29,8 @@
     StartTime startedAt;
 };
 
-// Names one life: equal for equal incarnations only. Just the name if the start is not known.
+// Identifies one incarnation: equal for equal incarnations only. The bare name if the start time is
+// unknown and the name has no '@'.
 HostId hostIdOf(const Incarnation &incarnation);
 
 // The inverse of hostIdOf().
--- a/ramphinge/fleet/model_work.h
+++ b/ramphinge/fleet/model_work.h
@@ -1,4 +1,4 @@
-// How much work callers ask of each model: as one daemon sees it, or summed over many.
+// How much work callers ask of each model: as seen by one daemon, or summed over many.
 
 #pragma once
 
@@ -10,8 +10,8 @@
 
 struct ModelWork
 {
-    double serverMilliseconds = 0; // Faded.
-    double requests = 0; // Faded; how many observations the figure rests on.
+    double serverMilliseconds = 0; // Server time that the work takes; decayed.
+    double requests = 0; // Number of observations behind the figure; decayed.
 
     ModelWork &operator+=(const ModelWork &other)
     {
--- a/ramphinge/fleet/place_load.h
+++ b/ramphinge/fleet/place_load.h
@@ -1,5 +1,5 @@
-// What daemons have under way, and how much work they are asked for: as one daemon knows it of
-// itself, or summed over many.
+// The requests that daemons have in progress at each target, and the work that callers ask for: of
+// one daemon, or summed over many.
 
 #pragma once
 
@@ -13,17 +13,17 @@
 
 struct PlaceLoad
 {
-    HostId host; // The server, or a replica's head.
-    int running = 0; // Requests that were sent and have not ended, without late ones that wait.
-    std::int64_t waitingPrompt = 0; // Tokens of those that have not begun.
+    HostId host; // A plain server, or a replica's head.
+    int running = 0; // Requests sent and not ended, except late ones that wait.
+    std::int64_t waitingPrompt = 0; // Prompt tokens of requests that have not begun.
 };
 
 using PlaceLoads = std::vector<PlaceLoad>;
 
-// What daemons tell each other.
+// The load that daemons report to each other.
 struct SharedLoad
 {
-    PlaceLoads places; // Without those where nothing is.
+    PlaceLoads places; // Without idle ones.
     WorkByModel work;
 };
 
--- a/ramphinge/fleet/upstream_server.cpp
+++ b/ramphinge/fleet/upstream_server.cpp
@@ -1,4 +1,4 @@
-// Servers' descriptions: see upstream_server.h.
+// Descriptions of upstream servers: see upstream_server.h.
 
 #include "ramphinge/fleet/upstream_server.h"
 
--- a/ramphinge/fleet/upstream_server.h
+++ b/ramphinge/fleet/upstream_server.h
@@ -1,4 +1,4 @@
-// One upstream server as it describes itself: where it is, what it holds, which replica it is in.
+// An upstream server as it describes itself: its address, the models it holds, and its replica.
 
 #pragma once
 
@@ -10,13 +10,13 @@
 
 namespace ramphinge {
 
-// How far a server is in its replica. Only rank 0, the head, gets beyond Ready.
+// A server's state in its replica. Only rank 0, the head, gets beyond Ready.
 enum class MembershipState {
-    Joining, // Loads or connects.
-    Ready, // Holds its part; serves nothing.
+    Joining, // Loads the model or connects to the other members.
+    Ready, // Holds its part of the model; takes no requests.
     Open, // Head: takes requests.
-    Closing, // Head: finishes what it has.
-    Broken, // Head: gave up on a missing member; refuses everything.
+    Closing, // Head: finishes its requests and takes no more.
+    Broken, // Head: gave up on a missing member; refuses all requests.
 };
 
 const char *toString(MembershipState state);
@@ -29,7 +29,7 @@
     MembershipState state = MembershipState::Joining;
 };
 
-// Where requests to one life of a server go.
+// Where requests to one incarnation of a server are sent.
 struct ServerAddress
 {
     HostId host;
@@ -38,7 +38,7 @@
     ServiceId service;
 };
 
-// One life of a server: `host` names it, see incarnation.h.
+// One incarnation of a server, named by `host`: see incarnation.h.
 struct UpstreamServer
 {
     HostId host;
@@ -47,10 +47,11 @@
     ZoneId zone;
     DomainId domain; // Empty for plain services.
     int slots = 1;
-    bool draining = false; // Leaves soon; gets nothing new.
+    bool draining = false; // Leaves soon; gets no new requests.
     std::vector<ModelId> stagedModels; // On its host's own storage.
-    ModelId model; // Held in memory; empty for none, and outside of replicas.
-    // The model of its last replica in this life, as far as it was seen: it is back in a moment.
+    ModelId model; // Held in memory; empty if none, and outside of replicas.
+    // The model of this incarnation's last replica, as far as it was seen: the server can hold it
+    // again within moments.
     ModelId lastModel;
     std::optional<ReplicaMembership> membership;
 
@@ -61,7 +62,7 @@
     // Whether it could hold the model without a load from the weight store.
     bool isWarmFor(const ModelId &wanted) const;
 
-    // In that replica at that epoch, in whatever state.
+    // Whether it is in that replica at that epoch, in any state.
     bool isMemberOf(const ReplicaId &replica, Epoch epoch) const;
 };
 
