--- a/ramphinge/catalog/catalog_test.cpp
+++ b/ramphinge/catalog/catalog_test.cpp
@@ -1,5 +1,4 @@
-// Tests of the catalog: which route a request gets, who holds a key, and how long a catalog is
-// vouched for.
+// Tests of the catalog: route lookup, key lookup, and how long a catalog counts as fresh.
 
 #include "ramphinge/catalog/freshness.h"
 #include "ramphinge/catalog/service_catalog.h"
@@ -31,10 +30,10 @@
     CPPUNIT_TEST_SUITE(CatalogTest);
     CPPUNIT_TEST(longestPrefixOfTheHostWins);
     CPPUNIT_TEST(prefixEndsAtASlash);
-    CPPUNIT_TEST(keysFindTheirAccount);
-    CPPUNIT_TEST(kindsSayWhatMayBeRepeated);
-    CPPUNIT_TEST(freshnessIsCountedFromTheStartOfTheProof);
-    CPPUNIT_TEST(withoutABoundOneProofIsEnough);
+    CPPUNIT_TEST(keysMapToTheirAccount);
+    CPPUNIT_TEST(requestKindsDecideWhatMayBeRetried);
+    CPPUNIT_TEST(freshnessIsMeasuredFromTheStartOfTheConfirmingRead);
+    CPPUNIT_TEST(withoutABoundOneConfirmationIsEnough);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -64,7 +63,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), routeOf(catalog, "a.example", ""));
     }
 
-    void keysFindTheirAccount()
+    void keysMapToTheirAccount()
     {
         CatalogContent content;
         content.accounts = { { AccountId("school"), 1, { "k1", "k2" } },
@@ -77,7 +76,7 @@
         CPPUNIT_ASSERT(!ServiceCatalog({}).asksForKeys());
     }
 
-    void kindsSayWhatMayBeRepeated()
+    void requestKindsDecideWhatMayBeRetried()
     {
         RouteEntry entry;
         entry.kind = RequestKind::AtMostOnce;
@@ -91,24 +90,24 @@
         CPPUNIT_ASSERT(entry.mayRepeat());
     }
 
-    void freshnessIsCountedFromTheStartOfTheProof()
+    void freshnessIsMeasuredFromTheStartOfTheConfirmingRead()
     {
         ManualClock clock;
         Freshness freshness(std::chrono::seconds(5), std::chrono::seconds(1));
         CPPUNIT_ASSERT(!freshness.holds(clock.now()));
         const MonotonicTime started = clock.now();
-        clock.advance(std::chrono::seconds(2)); // The watch waited.
+        clock.advance(std::chrono::seconds(2)); // The watch took 2 s.
         freshness.prove(started);
         clock.advance(std::chrono::milliseconds(1999));
         CPPUNIT_ASSERT(freshness.holds(clock.now()));
         clock.advance(std::chrono::milliseconds(1));
         CPPUNIT_ASSERT(!freshness.holds(clock.now()));
-        // A proof that began earlier and arrives later changes nothing.
+        // An older confirmation that arrives late changes nothing.
         freshness.prove(started - std::chrono::seconds(1));
         CPPUNIT_ASSERT(*freshness.age(clock.now()) == std::chrono::seconds(4));
     }
 
-    void withoutABoundOneProofIsEnough()
+    void withoutABoundOneConfirmationIsEnough()
     {
         ManualClock clock;
         Freshness freshness(std::nullopt, std::chrono::seconds(1));
--- a/ramphinge/catalog/freshness.h
+++ b/ramphinge/catalog/freshness.h
@@ -1,8 +1,9 @@
-// How long ago the daemon last had proof that its catalog is the newest one.
+// How long ago the daemon's catalog was last confirmed to be the newest one.
 //
-// Keys that an operator takes away must stop working everywhere, also on a daemon that can't reach
-// the store. So a request with a key is admitted only on proof that is young enough. The proof is
-// dated by the *start* of the read or watch that brought it: the store answered at some later time.
+// Keys that an operator revokes must stop working everywhere, also on a daemon that can't reach the
+// store. So a request with a key is admitted only if the catalog was confirmed recently. A
+// confirmation is dated by the *start* of the read or watch that brought it, since the store may
+// have answered at any later time.
 //
 //   freshness.prove(watchStartedAt);
 //   if (!freshness.holds(clock.now()))
@@ -20,35 +21,36 @@
 class Freshness
 {
 public:
-    // `bound` is the longest time that a removed key may still be accepted; `margin` is taken off
-    // for the time between the check here and the start of the work at an upstream. No bound: a
-    // catalog holds until a newer one is known.
+    // `bound` is the longest time that a revoked key may still be accepted; `margin` is subtracted
+    // for the time between this check and the start of the work at an upstream. Without a bound a
+    // catalog counts as fresh once it was confirmed.
     Freshness(std::optional<Duration> bound, Duration margin) : m_bound(bound), m_margin(margin) { }
 
-    // A read or watch begun at `startedAt` showed that the catalog is the newest.
+    // A read or watch started at `startedAt` showed that the catalog is the newest.
     void prove(MonotonicTime startedAt)
     {
-        if (!m_proof || *m_proof < startedAt)
-            m_proof = startedAt;
+        if (!m_confirmedAt || *m_confirmedAt < startedAt)
+            m_confirmedAt = startedAt;
     }
 
+    // Whether the catalog is fresh enough to admit requests with keys.
     bool holds(MonotonicTime now) const
     {
-        return m_proof && (!m_bound || now < *m_proof + *m_bound - m_margin);
+        return m_confirmedAt && (!m_bound || now < *m_confirmedAt + *m_bound - m_margin);
     }
 
-    // Age of the proof; nothing if there never was one.
+    // Time since the last confirmation; nothing if there was none.
     std::optional<Duration> age(MonotonicTime now) const
     {
-        if (!m_proof)
+        if (!m_confirmedAt)
             return std::nullopt;
-        return now - *m_proof;
+        return now - *m_confirmedAt;
     }
 
 private:
     std::optional<Duration> m_bound;
     Duration m_margin;
-    std::optional<MonotonicTime> m_proof; // Never moves back.
+    std::optional<MonotonicTime> m_confirmedAt; // Never moves backwards.
 };
 
 } // namespace ramphinge
--- a/ramphinge/catalog/service_catalog.cpp
+++ b/ramphinge/catalog/service_catalog.cpp
@@ -17,7 +17,7 @@
     return lowered;
 }
 
-// Hosts hold no spaces, so the pair is unambiguous.
+// Host names contain no spaces, so the pair is unambiguous.
 std::string routeKey(const std::string &host, std::string_view prefix)
 {
     return host + ' ' + std::string(prefix);
--- a/ramphinge/catalog/service_catalog.h
+++ b/ramphinge/catalog/service_catalog.h
@@ -1,6 +1,6 @@
-// What may be asked of the deployment, and by whom: routes, upstream services, limits on callers
-// and the client accounts' keys. One immutable value a version; the request path holds a shared
-// pointer and never sees half of a change.
+// What the deployment serves, and to whom: routes, upstream services, limits on callers, and the
+// client accounts' keys. Each version is one immutable value; the request path holds a shared
+// pointer and never sees a partial change.
 //
 //   const RouteEntry *route = catalog->findRoute("api.example", "/chat/x");
 //   if (route == nullptr)
@@ -24,17 +24,17 @@
 using RouteId = Id<struct RouteIdTag>;
 using CatalogVersion = Quantity<struct CatalogVersionTag>;
 
-// What may be repeated on a route.
+// Which requests of a route may be retried.
 enum class RequestKind {
     Idempotent, // May run more than once.
     AtMostOnce,
-    Stream, // Answered by a stream of events; see RouteEntry::resumable.
+    Stream, // Answered by an event stream; see RouteEntry::resumable.
 };
 
 struct WeightedTarget
 {
     ServiceId service;
-    double weight = 1; // Against the sum over the route's targets.
+    double weight = 1; // Relative to the sum over the route's targets.
 };
 
 struct RouteEntry
@@ -43,49 +43,49 @@
     std::string host; // Compared in lower case.
     std::string pathPrefix; // Begins and ends with a slash.
     RequestKind kind = RequestKind::AtMostOnce;
-    bool resumable = false; // Streams only: may go on at another upstream after its last event.
-    bool isPublic = false; // Needs no key.
+    bool resumable = false; // Streams: another upstream may continue after the last event.
+    bool isPublic = false; // Requests need no key.
     int priority = 5; // 0 is the most urgent.
-    int maxAttempts = 1; // Upstreams that may run one request.
-    Duration timeout = std::chrono::seconds(10); // The longest that a caller is kept waiting.
+    int maxAttempts = 1; // Attempts of one request that may have run.
+    Duration timeout = std::chrono::seconds(10); // Longest deadline of a request, from its arrival.
     Duration objective =
-        std::chrono::milliseconds(500); // To the answer, or a stream's first event.
-    Duration pauseObjective = std::chrono::milliseconds(300); // Between two events of a stream.
+        std::chrono::milliseconds(500); // Latency to the answer, or to a stream's first event.
+    Duration pauseObjective = std::chrono::milliseconds(300); // Gap between two events of a stream.
     std::vector<WeightedTarget> targets;
 
-    // May a request of this route run again after it may have run.
+    // Whether a request of this route may run again after it may have run.
     bool mayRepeat() const
     {
         return kind == RequestKind::Idempotent || (kind == RequestKind::Stream && resumable);
     }
 };
 
-// One model that a service's servers can hold.
+// A model that a service's servers can hold.
 struct ModelProfile
 {
     ModelId model;
     int serversPerReplica = 1;
-    double share = 1; // Of the service's servers, at the start.
-    double pace = 1; // Factor on all of the engine's times.
+    double share = 1; // Of the service's servers, before demand is known.
+    double pace = 1; // Factor on all of the engine's step and prefill times.
     Duration loadTime {}; // From the weight store.
-    Duration warmTime {}; // From the server's own host.
+    Duration warmTime {}; // From the host's own storage or memory.
 };
 
-// The engine's published performance formula.
+// Parameters of the engine's published performance model.
 struct EngineProfile
 {
     int slots = 1; // Requests that one replica runs at once.
     double kvCacheTokens = 0;
-    double stepMilliseconds = 10; // One token for every running request.
-    double perSequenceMilliseconds = 0; // More a step for each running request.
-    double contextMillisecondsPerThousand = 0; // More a step for each 1,000 tokens of context.
+    double stepMilliseconds = 10; // A step yields one token for each running request.
+    double perSequenceMilliseconds = 0; // Added per step for each running request.
+    double contextMillisecondsPerThousand = 0; // Added per step for each 1,000 tokens of context.
     double prefillTokensPerSecond = 10'000;
-    double pairMillisecondsPerMillion = 0; // Attention during prefill.
+    double pairMillisecondsPerMillion = 0; // Prefill attention: per million pairs of tokens.
     int stepsPerPass = 1;
-    Duration formationTime {}; // From the order to open to serving.
+    Duration formationTime {}; // From the order to open until the replica serves.
     double loadsPerSecond = 1; // Starts of loads from the weight store, over all servers.
-    int loadsAtOnce = 1; // Beyond it each load takes proportionally longer.
-    int stagedModelsKept = 1; // On a server's own storage.
+    int loadsAtOnce = 1; // With more, each load takes proportionally longer.
+    int stagedModelsKept = 1; // Capacity of a server's own storage, in models.
     double usualPromptTokens = 0;
     double usualAnswerTokens = 0;
     std::vector<ModelProfile> models;
@@ -97,7 +97,7 @@
 {
     ServiceId service;
     std::string healthPath;
-    int connectionLimit = 0; // Of one server, over all callers; 0: none is set.
+    int connectionLimit = 0; // Of one server, over all callers; 0: no limit.
     std::optional<EngineProfile> engine; // Absent for plain services.
 };
 
@@ -112,7 +112,7 @@
 struct AccountEntry
 {
     AccountId account;
-    std::optional<int> priority; // Goes before the route's.
+    std::optional<int> priority; // Overrides the route's.
     std::vector<std::string> keys;
 };
 
@@ -122,7 +122,7 @@
     CatalogVersion version;
     std::vector<RouteEntry> routes;
     std::vector<ServiceEntry> services;
-    std::vector<AccountEntry> accounts; // Empty: no keys are asked for.
+    std::vector<AccountEntry> accounts; // Empty: requests need no keys.
     CallerLimits limits;
 };
 
@@ -137,16 +137,16 @@
     const std::vector<ServiceEntry> &services() const { return m_content.services; }
     bool asksForKeys() const { return !m_content.accounts.empty(); }
 
-    // The route of that host with the longest prefix of `path`, or null.
+    // The route of that host with the longest path prefix of `path`, or null.
     const RouteEntry *findRoute(std::string_view host, std::string_view path) const;
 
-    // Null if nobody holds the key.
+    // The account that holds the key, or null.
     const AccountEntry *findAccount(std::string_view key) const;
     const ServiceEntry *findService(const ServiceId &service) const;
 
 private:
     CatalogContent m_content;
-    // Indexes into m_content; keys of routes are "host prefix".
+    // Indexes into m_content; routes are keyed by "host prefix".
     std::unordered_map<std::string, std::size_t> m_routes;
     std::unordered_map<std::string, std::size_t> m_accounts;
     std::map<ServiceId, std::size_t> m_services;
