--- a/ramphinge/fleet_control/quarantine_keeper.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper.cpp
@@ -1,4 +1,4 @@
-// The quarantine through the store: see quarantine_keeper.h.
+// Replication of the quarantine through the store: see quarantine_keeper.h.
 
 #include "ramphinge/fleet_control/quarantine_keeper.h"
 
@@ -59,12 +59,12 @@
     for (auto entry = m_fleet.ownKeys.lower_bound(FleetKeys::crashPrefix());
          entry != m_fleet.ownKeys.end() && isCrashReportKey(entry->first); ++entry) {
         if (entry->first == own && m_adopted)
-            continue; // What was written by this daemon itself.
+            continue; // Written by this process itself.
         takeOverKey(entry->first, entry->second);
     }
     const bool ownLapsed = m_adopted && m_fleet.ownKeys.count(own) == 0;
     if (ownLapsed && !m_quarantine.own().empty())
-        m_published = 0; // With its lease; what still holds is told anew.
+        m_published = 0; // It lapsed with its lease; what is still valid is published again.
     m_adopted = true;
     eraseIf(m_taken, [this](const auto &taken) {
         const bool isGone = m_fleet.ownKeys.count(taken.first) == 0;
@@ -120,8 +120,8 @@
     }
 }
 
-// A new lease in place of a renewal: reports are written seldom, and each write begins a report's
-// time anew.
+// Grants a new lease instead of renewing: reports are written rarely, and each write restarts the
+// lifetime of the report.
 bool QuarantineKeeper::renewLease(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
@@ -157,7 +157,8 @@
     return Done {};
 }
 
-// Without it what is held back would be let go ten minutes after the daemons that saw it were gone.
+// Without this document a request would leave the quarantine ten minutes after the daemons that
+// observed its crashes have stopped.
 void QuarantineKeeper::keepHeld(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
@@ -208,8 +209,8 @@
     return parseCrashReport(present->second.value, mostReported);
 }
 
-// Where the list can't be read, or has no room for more of the account, nothing is tried: without
-// it a request might be tried again and again.
+// Grants no trial if the list of tried requests can't be read or is full for the account: without
+// an entry in it a request might be tried repeatedly.
 bool QuarantineKeeper::grantTrial(const RequestFingerprint &fingerprint, Yield yield)
 {
     const auto since = m_heldSince.find(fingerprint);
--- a/ramphinge/fleet_control/quarantine_keeper.h
+++ b/ramphinge/fleet_control/quarantine_keeper.h
@@ -1,18 +1,18 @@
-// Keeps the quarantine the same at all daemons, through the store.
+// Replicates the quarantine to all daemons through the store.
 //
-// Each daemon writes what it has seen under a key of its own, so that ends which several daemons
-// see at once need no agreement. That key is not under the daemon's registration: what it saw must
-// be known after it was killed too. The requests that are held back besides lie in one document
-// without a lease, which the planner writes; and what the operators let go, in one that they write.
-// three have the same form, and whoever reads them unites them.
+// Each daemon writes the crashes it has observed under a key of its own, so that daemons which
+// observe crashes at the same time need no coordination. That key has a lease of its own, not the
+// registration's: the report must outlive a daemon that is killed. Two more documents have no
+// lease: the quarantined requests, written by the planner, and the requests that operators have
+// released. All three have the same format, and every reader merges them.
 //
-// An innocent request may have met several servers' ends without an answer between. So each request
-// that is held back is sent once more, by one daemon, some seconds later: an answer clears it
-// everywhere, an end of another server leaves it to the operators. Who may do that is settled by a
-// compare-and-swap on the list of those that were tried.
+// A harmless request may have been present at several crashes without a response in between. So
+// each quarantined request is sent once more, by one daemon, some seconds later: a response clears
+// it everywhere, another crash leaves it to the operators. A compare-and-swap on the list of
+// retried requests decides which daemon sends it.
 //
-//   keeper.takeOver();  // After each change of the picture.
-//   keeper.run(yield);  // Publishes what is new here.
+//   keeper.takeOver();  // After each change of the view.
+//   keeper.run(yield);  // Publishes this daemon's changes.
 
 #pragma once
 
@@ -30,25 +30,26 @@
 struct QuarantineKeeperOptions
 {
     DaemonId daemon;
-    // Between two looks at whether there is something to publish. Until the others know, the
-    // request may end a server at each of them, so it is short.
+    // How often run() checks for changes to publish. Short, since the request may crash a server at
+    // each daemon that has not received them yet.
     Duration interval = std::chrono::milliseconds(50);
-    // Between two writes, which are paid for: what ends one after the other is told together.
+    // Minimum time between two reports. Writes are billed, so crashes in quick succession share
+    // one.
     Duration spacing = std::chrono::milliseconds(250);
-    // Before a report is written anew in which nothing was added, only taken out.
+    // Minimum time between two reports if the new one only removes entries.
     Duration tidying = std::chrono::seconds(15);
-    // Of the lease that a daemon's report is under: the longest that the store grants. Beyond it
-    // nobody needs the suspicions of a daemon that is gone.
+    // Lease of a daemon's report: the longest that the store grants. After it the suspicions of a
+    // stopped daemon are no longer needed.
     Duration reportLasts = std::chrono::minutes(10);
-    // Between two looks for what is too old, by minutes.
+    // How often expired records are removed; they expire after minutes.
     Duration expiryInterval = std::chrono::seconds(1);
-    // From when this daemon holds a request back until it may be tried: by then what ended servers
-    // one after the other is known, and the others have come back.
+    // From the quarantining of a request at this daemon until its trial: by then crashes in quick
+    // succession are known, and the crashed servers have restarted.
     Duration trialAfter = std::chrono::seconds(5);
-    // How long it is remembered that a request was tried. One that comes again for longer costs a
-    // server a day.
+    // How long a trial is remembered. A request that keeps coming for longer crashes one server a
+    // day.
     Duration triedLasts = std::chrono::hours(24);
-    // Between two looks of the planner at the document of what is held back.
+    // How often the planner checks whether the document of quarantined requests is up to date.
     Duration plannersInterval = std::chrono::seconds(1);
 };
 
@@ -62,13 +63,13 @@
 
     // Runs until stop().
     void run(Yield yield);
-    // One round of run().
+    // One iteration of run().
     void round(Yield yield);
     void stop() { m_stopping = true; }
 
     bool grantTrial(const RequestFingerprint &fingerprint, Yield yield) override;
 
-    // Takes over what others have published. Call after each change of the picture.
+    // Applies the reports that others have published. Call after each change of the view.
     void takeOver();
 
 private:
@@ -88,19 +89,20 @@
     const KeyHolder &m_role;
     const Clock &m_clock;
     DecisionLog &m_log;
-    std::map<StoreKey, Revision> m_taken; // Of the reports that were heard or could not be read.
-    bool m_adopted = false; // What this daemon told in an earlier life was taken over.
-    std::uint64_t m_published = 0; // The version of own reports that the store holds; 0 for none.
+    std::map<StoreKey, Revision>
+        m_taken; // Last processed revision of each report, even unreadable.
+    bool m_adopted = false; // The report of this daemon's previous process was applied.
+    std::uint64_t m_published = 0; // The version of the own report in the store; 0 for none.
     MonotonicTime m_nextWriteAt;
-    MonotonicTime m_writtenAt; // Its own report, last.
-    MonotonicTime m_nextLookAt; // As planner.
+    MonotonicTime m_writtenAt; // The last write of the own report.
+    MonotonicTime m_nextLookAt; // As planner, of the document of quarantined requests.
     MonotonicTime m_nextExpiryAt;
     LeaseId m_lease = noLease;
     MonotonicTime m_leaseGrantedAt;
-    std::uint64_t m_notedVersion = 0; // Of the quarantine, in m_heldSince.
-    std::map<RequestFingerprint, MonotonicTime>
-        m_heldSince; // What is held back; for how long here.
-    bool m_granting = false; // A trial is being settled.
+    std::uint64_t m_notedVersion = 0; // The quarantine's version that m_heldSince reflects.
+    // When each quarantined request became quarantined at this daemon.
+    std::map<RequestFingerprint, MonotonicTime> m_heldSince;
+    bool m_granting = false; // grantTrial() waits for the store.
     bool m_stopping = false;
 };
 
--- a/ramphinge/fleet_control/quarantine_keeper_test.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the quarantine through the store: several daemons over one store, kills, outages, and
-// what operators let go.
+// Tests of the quarantine's replication: several daemons on one store, killed daemons, outages, and
+// releases by operators.
 
 #include "ramphinge/fleet_control/internal/daemon_fixture.h"
 #include "ramphinge/fleet_control/quarantine_keeper.h"
@@ -15,7 +15,7 @@
 const HostId second("s2");
 const HostId third("s3");
 
-// One daemon: its picture, its quarantine, and what keeps the two together.
+// One daemon's view of the store, its quarantine, and the QuarantineKeeper that connects them.
 struct Daemon
 {
     Daemon(IoContext &io, ManualClock &clock, KeyValueStore &store, const std::string &name)
@@ -31,7 +31,7 @@
         return options;
     }
 
-    // News of the store, and what follows from them.
+    // Updates the view from the store, and applies the reports in it.
     void hear(Yield yield)
     {
         parts.sync.round(yield);
@@ -40,7 +40,7 @@
 
     void tell(Yield yield)
     {
-        clock.advance(std::chrono::milliseconds(250)); // The spacing of writes.
+        clock.advance(std::chrono::milliseconds(250)); // The minimum time between two reports.
         keeper.round(yield);
     }
 
@@ -92,7 +92,8 @@
         });
     }
 
-    // They were killed, so their registrations are gone; their reports are not under those.
+    // The daemons that observed the crashes were killed, and their registrations have lapsed. Their
+    // reports have leases of their own.
     void isKnownToOneThatStartsAfterAllWhoSawItAreGone()
     {
         play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
@@ -143,12 +144,12 @@
     {
         play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
             daemons[0]->sees(first);
-            daemons[0]->tell(yield); // With a lease from here on.
+            daemons[0]->tell(yield); // Grants the lease.
             daemons[0]->sees(second);
             store.loseNextAnswer();
             daemons[0]->tell(yield);
             daemons[0]->sees(third);
-            daemons[0]->tell(yield); // Meets its own write.
+            daemons[0]->tell(yield); // Conflicts with its own write.
             daemons[0]->hear(yield);
             daemons[0]->tell(yield);
             daemons[1]->hear(yield);
@@ -185,7 +186,7 @@
             for (auto &daemon : daemons)
                 daemon->hear(yield);
             daemons[2]->tell(yield); // As planner.
-            // It was under way there when the word came.
+            // The request was in progress there when it was quarantined.
             CPPUNIT_ASSERT(daemons[1]->quarantine().noteAnswered(harmful, daemons[1]->clock.now()));
             daemons[1]->tell(yield);
             for (auto &daemon : daemons) {
@@ -204,7 +205,7 @@
             daemons[0]->sees(first);
             daemons[0]->sees(second);
             CPPUNIT_ASSERT(releaseRequest(store, harmful, yield).error().kind()
-                           == ErrorKind::NotFound); // Nobody has told of it yet.
+                           == ErrorKind::NotFound); // Not published yet.
             daemons[0]->tell(yield);
             CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, readHeldRequests(store, yield).value().size());
             CPPUNIT_ASSERT(releaseRequest(store, harmful, yield).ok());
@@ -229,8 +230,8 @@
             clock.advance(std::chrono::seconds(5));
             CPPUNIT_ASSERT(daemons[1]->keeper.grantTrial(harmful, yield));
             CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(harmful, yield));
-            CPPUNIT_ASSERT(
-                !daemons[0]->keeper.grantTrial(harmful, yield)); // Knows nothing of it yet.
+            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(
+                harmful, yield)); // It has not received the grant; the store rejects its write.
             for (int minute = 0; minute < 3; ++minute) {
                 clock.advance(std::chrono::minutes(1));
                 for (auto &daemon : daemons) {
@@ -250,7 +251,7 @@
             clock.advance(std::chrono::seconds(5));
             store.setDown(true);
             CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(harmful, yield));
-            daemons[0]->hear(yield); // It has lost the store.
+            daemons[0]->hear(yield); // Detects that the store is unreachable.
             CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(harmful, yield));
             CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(RequestFingerprint("unknown"), yield));
         });
--- a/ramphinge/fleet_control/quarantine_operations.cpp
+++ b/ramphinge/fleet_control/quarantine_operations.cpp
@@ -1,4 +1,4 @@
-// Operators and requests that are held back: see quarantine_operations.h.
+// Operators' commands on quarantined requests: see quarantine_operations.h.
 
 #include "ramphinge/fleet_control/quarantine_operations.h"
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Somebody else may write the same list meanwhile; another operator, at most.
+// Another operator may write the same list concurrently.
 constexpr int mostTries = 5;
 
-// All reports of the store, and the list of what was released before.
+// All reports in the store, and the list of requests that were released before.
 struct StoredReports
 {
     Quarantine quarantine { QuarantineOptions() };
@@ -28,7 +28,7 @@
     for (const StoredEntry &entry : snapshot.value().entries) {
         Result<CrashReport> report = parseCrashReport(entry.stored.value, mostReported);
         if (!report.ok())
-            continue; // No daemon counts it either.
+            continue; // Daemons skip it too.
         if (entry.key == FleetKeys::releasedRequests()) {
             reports.released = report.value();
             reports.releasedRevision = entry.stored.revision;
--- a/ramphinge/fleet_control/quarantine_operations.h
+++ b/ramphinge/fleet_control/quarantine_operations.h
@@ -1,5 +1,5 @@
-// What operators do about requests that are held back: see them, and let one go. They speak to the
-// store, as everything that lasts is there.
+// Operators' commands on quarantined requests: list them, and release one. They work on the store,
+// which holds all persistent state.
 
 #pragma once
 
@@ -8,12 +8,13 @@
 
 namespace ramphinge {
 
-// The requests that daemons hold back by what the store tells now. Errors: those of the store.
+// The requests that are quarantined according to the store's current content. Errors: those of the
+// store.
 Result<CrashReport> readHeldRequests(KeyValueStore &store, Yield yield);
 
-// Excuses all ends of servers that are known under the request, so that daemons send it again. It
-// is held back anew once it has ended as many servers again. Errors: NotFound if it isn't held
-// back; those of the store.
+// Excuses all known crashes under the request, so that daemons send it again. It is quarantined
+// again once it has crashed as many servers again. Errors: NotFound if it isn't quarantined; those
+// of the store.
 Status releaseRequest(KeyValueStore &store, const RequestFingerprint &fingerprint, Yield yield);
 
 } // namespace ramphinge
