--- a/ramphinge/fleet_control/drain_schedule.h
+++ b/ramphinge/fleet_control/drain_schedule.h
@@ -1,4 +1,4 @@
-// When a daemon that was told to stop takes its last request, and when it ends.
+// When a daemon that was told to stop accepts its last request, and when it exits.
 
 #pragma once
 
@@ -11,19 +11,19 @@
 class DrainSchedule
 {
 public:
-    // `grace` is the time from the signal to the forced end.
+    // `grace` is the time from the signal until the process is killed.
     DrainSchedule(MonotonicTime signalAt, Duration grace) : m_signalAt(signalAt), m_grace(grace) { }
 
-    // Until then requests are taken: the balancer sends callers until it has seen two red answers,
-    // a second apart. Later ones might not be finished within the grace.
+    // Until when requests are accepted: the load balancer sends callers until it has seen two
+    // failed health checks, a second apart. Later requests might not finish within the grace.
     MonotonicTime takesUntil() const { return m_signalAt + std::min(rotation, m_grace / 3); }
 
-    // Then the process ends, with requests in progress if there still are any.
+    // When the process exits, even with requests still in progress.
     MonotonicTime endsAt() const { return m_signalAt + m_grace - std::min(reserve, m_grace / 4); }
 
 private:
     static constexpr Duration rotation = std::chrono::milliseconds(2600);
-    // For closing down before the forced end.
+    // Left for the shutdown itself before the process is killed.
     static constexpr Duration reserve = std::chrono::milliseconds(700);
 
     MonotonicTime m_signalAt;
--- a/ramphinge/fleet_control/fleet_state.cpp
+++ b/ramphinge/fleet_control/fleet_state.cpp
@@ -1,4 +1,4 @@
-// The daemon's picture of the fleet: see fleet_state.h.
+// The daemon's view of the fleet: see fleet_state.h.
 
 #include "ramphinge/fleet_control/fleet_state.h"
 
--- a/ramphinge/fleet_control/fleet_state.h
+++ b/ramphinge/fleet_control/fleet_state.h
@@ -1,5 +1,5 @@
-// What one daemon believes about the fleet: the store's content in the project's types. Written by
-// StoreSync, and by the planner for its own writes; read by everything else on the event loop.
+// One daemon's view of the fleet: the store's content in the project's types. Written by StoreSync,
+// and by whoever writes a key for its own writes; read by everything else on the event loop.
 
 #pragma once
 
@@ -13,24 +13,24 @@
 
 namespace ramphinge {
 
-// Keys that the daemons write themselves.
+// Keys that daemons write.
 struct FleetKeys
 {
     static StoreKey plan() { return StoreKey("ramphinge/plan"); }
     static StoreKey orders() { return StoreKey("ramphinge/orders"); }
     static StoreKey planner() { return StoreKey("ramphinge/planner"); }
-    // The secret that daemons prove to each other on their links.
+    // The shared secret with which daemons authenticate their links to each other.
     static StoreKey linkKey() { return StoreKey("ramphinge/link-key"); }
     static StoreKey daemonPrefix() { return StoreKey("ramphinge/daemons/"); }
-    // Reports of servers that ended under requests: of daemons, of what is held back, of what the
-    // operators let go.
+    // Crash reports: one a daemon, the quarantined requests, those on trial, and those that
+    // operators released.
     static StoreKey crashPrefix() { return StoreKey("ramphinge/crashes/"); }
     static StoreKey crashes(const DaemonId &daemon)
     {
         return StoreKey(crashPrefix().text() + "seen-by/" + daemon.text());
     }
     static StoreKey heldRequests() { return StoreKey(crashPrefix().text() + "held"); }
-    // The requests that were sent once more on trial; without any end.
+    // The requests that were sent once more on trial. Its records list no crashes.
     static StoreKey triedRequests() { return StoreKey(crashPrefix().text() + "tried"); }
     static StoreKey releasedRequests() { return StoreKey(crashPrefix().text() + "released"); }
     static StoreKey suspicionPrefix() { return StoreKey("ramphinge/suspicions/"); }
@@ -49,16 +49,17 @@
     FleetView servers;
     ReplicaPlan plan;
     Revision planRevision; // Of `plan`; absentRevision if none was ever written.
-    std::map<StoreKey, StoredValue> ownKeys; // The other keys that daemons write.
-    std::int64_t unreadableEntries = 0; // Entries of servers that could not be understood, so far.
-    bool synced = false; // A first full picture of the store was had.
+    std::map<StoreKey, StoredValue> ownKeys; // All keys that daemons write, but the plan.
+    std::int64_t unreadableEntries = 0; // Server entries that could not be decoded so far.
+    bool synced = false; // The store was listed, and its changes followed without a gap.
     bool storeReachable = false;
 
-    // Takes this daemon's own write of one of `ownKeys` over. News that came before the write's
-    // answer may be newer, and stays.
+    // Records this daemon's own write of one of `ownKeys`. A newer revision, which a watch may have
+    // delivered before the answer to the write, stays.
     void noteWritten(const StoreKey &key, StoredValue written);
 
-    // Takes the plan over if it is newer. Errors: InvalidInput; the present plan stays.
+    // Applies the plan unless it is older than the current one. Errors: InvalidInput; the current
+    // plan stays.
     Status takePlan(const StoredValue &stored);
 
     std::vector<RelayCandidate> daemons() const;
--- a/ramphinge/fleet_control/key_holder.cpp
+++ b/ramphinge/fleet_control/key_holder.cpp
@@ -45,14 +45,14 @@
         sleepFor(m_io, m_random.jittered(m_options.renewal, 1.0), yield);
         return;
     }
-    // Looked up only now: the key may have lapsed while the store granted the lease.
+    // Looked up after the grant: the key may have lapsed in the meantime.
     const auto present = m_fleet.ownKeys.find(m_options.key);
     const bool replaces = m_options.replaceExisting && present != m_fleet.ownKeys.end();
     const Revision expected = replaces ? present->second.revision : absentRevision;
     const Result<Revision> written = m_store.commit(
         { { m_options.key, m_options.value, expected, granted.value().lease } }, yield);
     if (!written.ok()) {
-        // Whether or not it was written, the key goes with the lease.
+        // Whether or not the key was written, it is removed with the lease.
         static_cast<void>(m_store.endLease(granted.value().lease, yield));
         sleepFor(m_io, m_random.jittered(m_options.renewal, 1.0), yield);
         return;
@@ -85,7 +85,7 @@
 void KeyHolder::lose(const std::string &why)
 {
     m_held = false;
-    // The key itself stays in the picture until a watch tells that it is gone.
+    // The key itself stays in the view until a watch reports its removal.
     m_log.write("key_lost", LogWeight::Belief, { { "key", m_options.key.text() }, { "why", why } });
 }
 
--- a/ramphinge/fleet_control/key_holder.h
+++ b/ramphinge/fleet_control/key_holder.h
@@ -1,5 +1,5 @@
-// Holds one key of the store under a lease, and knows until when it certainly holds it: for a
-// daemon's registration, and for the planner's role, which one daemon has at a time.
+// Acquires one key of the store under a lease, renews it, and tracks until when it is certainly
+// held: for a daemon's registration, and for the planner role, which one daemon has at a time.
 
 #pragma once
 
@@ -17,16 +17,17 @@
     StoreKey key;
     std::string value;
     Duration lifetime = std::chrono::seconds(3); // Of the lease.
-    // Renewals go out this often; several must fit in the lifetime.
+    // Time between renewals; several must fit in the lifetime.
     Duration renewal = std::chrono::seconds(1);
-    // Taken off the term, for clocks that run at different rates and answers on their way.
+    // Subtracted from the lifetime, for clock drift and network delay.
     Duration margin = std::chrono::milliseconds(400);
-    // Wait before taking a free key, at random up to this: one daemon gets there first and the
-    // others see it.
+    // Upper bound of the random delay before acquiring a free key, so that one daemon writes it
+    // first and the others see it.
     Duration contention = std::chrono::milliseconds(300);
-    // Wait before that, for a daemon that is to hold the key only if no better one takes it.
+    // Additional fixed delay, for a daemon that is to hold the key only if no better suited one
+    // acquires it.
     Duration precedence {};
-    // Replaces the key if it exists already: it can only be this daemon's own, from before.
+    // Replaces an existing key: it can only be left from this daemon's previous process.
     bool replaceExisting = false;
 };
 
@@ -37,20 +38,20 @@
     KeyHolder(IoContext &io, const Clock &clock, KeyHolderOptions options, KeyValueStore &store,
               FleetState &fleet, DecisionLog &log);
 
-    // Runs until stop(): takes the key when it is free, renews, notices its loss.
+    // Runs until stop(): acquires the key when it is free, renews it, detects its loss.
     void run(Yield yield);
 
-    // One round of run(): tries to take the key if it is free, renews it if it is held.
+    // One iteration of run(): tries to acquire the key if it is free, renews it if it is held.
     void round(Yield yield);
     void stop() { m_stopping = true; }
 
-    // Gives the key up at once, for a planned stop. Call after stop().
+    // Releases the key immediately, for a planned stop. Call after stop().
     void release(Yield yield);
 
     // Whether this daemon certainly holds the key now.
     bool holds(MonotonicTime now) const { return m_held && m_term.mayAct(now); }
 
-    // The lease that the key is under, for keys that go with it. Only while holds().
+    // The key's lease, for other keys that are to lapse with it. Only while holds().
     LeaseId lease() const { return m_lease; }
 
 private:
@@ -68,7 +69,7 @@
     LeaseId m_lease = noLease;
     Duration m_lifetime {}; // Of m_lease, as the store granted it.
     LeaseTerm m_term;
-    bool m_held = false; // The key was written with m_lease, and its loss was not noticed.
+    bool m_held = false; // The key was written with m_lease, and its loss was not detected.
     bool m_stopping = false;
 };
 
--- a/ramphinge/fleet_control/key_holder_test.cpp
+++ b/ramphinge/fleet_control/key_holder_test.cpp
@@ -1,4 +1,4 @@
-// Tests of keys under leases: who holds the planner's role, and a daemon's registration.
+// Tests of keys held under leases: the planner role, and a daemon's registration.
 
 #include "ramphinge/fleet_control/internal/daemon_fixture.h"
 #include "ramphinge/testing/cppunit_main.h"
@@ -43,7 +43,7 @@
         });
     }
 
-    // Whoever is to go last finds the key taken, and has asked the store for nothing.
+    // The daemon with the additional delay finds the key taken, and has made no store call.
     void betterCandidatesGoFirst()
     {
         Stage stage;
@@ -76,7 +76,7 @@
             first.sync.round(yield);
             first.role.round(yield);
             second.sync.round(yield);
-            // The first is frozen: it does not renew.
+            // The first daemon is suspended and does not renew.
             stage.clock.advance(std::chrono::milliseconds(2700));
             CPPUNIT_ASSERT(!first.role.holds(stage.clock.now()));
             second.sync.round(yield);
@@ -87,7 +87,7 @@
             second.sync.round(yield);
             second.role.round(yield);
             CPPUNIT_ASSERT(second.role.holds(stage.clock.now()));
-            first.role.round(yield); // Wakes, and finds its lease gone.
+            first.role.round(yield); // Resumes, and finds its lease expired.
             CPPUNIT_ASSERT(!first.role.holds(stage.clock.now()));
         });
     }
@@ -113,7 +113,7 @@
         Stage stage;
         stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreKey key = FleetKeys::daemon(DaemonId("d1"));
-            store.put(key, "z"); // Of the process before.
+            store.put(key, "z"); // Of the previous process.
             DaemonParts daemon(io, stage.clock, store, "d1");
             KeyHolderOptions options = DaemonParts::roleOptions("z");
             options.key = key;
@@ -142,7 +142,7 @@
         });
     }
 
-    // The store says how long a lease lasts; a renewal makes it no longer.
+    // The granted lifetime may be shorter than the requested one, and renewals must use the former.
     void renewedLeaseLastsAsLongAsTheStoreSaid()
     {
         ManualClock clock;
@@ -163,7 +163,7 @@
         });
     }
 
-    // A write's answer that was long on its way tells what was before the news that came meanwhile.
+    // The answer to a write may be delivered after a watch has reported a newer revision.
     void ownWriteDoesNotReplaceNewerNews()
     {
         ManualClock clock;
@@ -182,8 +182,8 @@
         });
     }
 
-    // A daemon that is back takes its registration anew; the old one lapses while the store grants
-    // the lease.
+    // A restarted daemon replaces its registration, and the old one lapses while the store grants
+    // the new lease.
     void keyThatLapsesWhileItIsTakenIsTakenAllTheSame()
     {
         ManualClock clock;
--- a/ramphinge/fleet_control/link_key.cpp
+++ b/ramphinge/fleet_control/link_key.cpp
@@ -1,4 +1,4 @@
-// The secret of the links: see link_key.h.
+// The secret for links between daemons: see link_key.h.
 
 #include "ramphinge/fleet_control/link_key.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Daemons ask the store themselves until there is a secret.
+// Until there is a secret, daemons watch the store itself rather than a relay.
 constexpr Duration interval = std::chrono::milliseconds(500);
 
 } // namespace
--- a/ramphinge/fleet_control/link_key.h
+++ b/ramphinge/fleet_control/link_key.h
@@ -1,7 +1,7 @@
-// Sees to it that the store holds the secret which daemons prove to each other on their links.
+// Writes the shared secret with which daemons authenticate their links to each other.
 //
-// Whoever can read the store may link up: that is the only trust there is between daemons, and they
-// need the store anyway. The secret is written once, by the planner, and stays.
+// Whoever can read the store may open a link: daemons have no other credential for each other, and
+// need the store anyway. The planner writes the secret once; it never changes.
 
 #pragma once
 
@@ -25,7 +25,7 @@
     // Runs until stop().
     void run(Yield yield);
 
-    // One round of run(): writes the secret if this daemon is the planner and there is none.
+    // One iteration of run(): writes the secret if this daemon is the planner and there is none.
     void round(Yield yield);
     void stop() { m_stopping = true; }
 
--- a/ramphinge/fleet_control/suspicion_reporter.cpp
+++ b/ramphinge/fleet_control/suspicion_reporter.cpp
@@ -1,4 +1,4 @@
-// Suspicions on their way to the planner: see suspicion_reporter.h.
+// Reports of suspected replicas to the planner: see suspicion_reporter.h.
 
 #include "ramphinge/fleet_control/suspicion_reporter.h"
 
@@ -46,7 +46,8 @@
     }
 }
 
-// The same daemons for as long as the replica lives, drawn by a hash of both names.
+// A hash of both names selects the reporters, so they stay the same for the replica's lifetime
+// while the number of daemons does.
 bool SuspicionReporter::isReporterOf(const PlannedReplica &replica) const
 {
     const UpstreamServer *head = m_fleet.servers.find(replica.hosts.front());
--- a/ramphinge/fleet_control/suspicion_reporter.h
+++ b/ramphinge/fleet_control/suspicion_reporter.h
@@ -1,5 +1,5 @@
-// Tells the planner through the store which replicas this daemon suspects: one key a daemon, which
-// goes with the daemon's registration.
+// Reports to the planner, through the store, which replicas this daemon suspects to have failed:
+// one key a daemon, under the lease of the daemon's registration.
 
 #pragma once
 
@@ -13,16 +13,17 @@
 {
     DaemonId daemon;
     ZoneId zone;
-    // Of the daemons of a replica's zone, which send it most requests, about so many report it; and
-    // so many of all others. Each report costs a write, and one is enough.
+    // Expected number of daemons that report a replica: in its own zone, whose daemons send it most
+    // requests, and among all daemons for those elsewhere. Each report costs a write, and one is
+    // enough.
     int reportersInZone = 4;
     int reportersElsewhere = 2;
-    // Between two looks at what was noted. A server that dies takes part in one replica, so more
+    // How often new suspicions are reported. A failed server is a member of one replica, so more
     // than one suspicion in that time is rare.
     Duration interval = std::chrono::milliseconds(100);
 };
 
-// The document: replicas, as of one moment.
+// The stored document: the suspected replicas as a JSON array.
 std::string serializeSuspicions(const std::vector<ReplicaId> &replicas);
 // Errors: InvalidInput.
 Result<std::vector<ReplicaId>> parseSuspicions(const std::string &text);
@@ -35,10 +36,11 @@
                       FleetState &fleet, DispatchState &dispatch, const KeyHolder &registration,
                       const KeyHolder &role, const Clock &clock, DecisionLog &log);
 
-    // Runs until stop(). While this daemon is the planner it leaves the suspicions to it.
+    // Runs until stop(). While this daemon is the planner, FormationRunner reads the suspicions
+    // instead.
     void run(Yield yield);
 
-    // One round of run().
+    // One iteration of run().
     void round(Yield yield);
     void stop() { m_stopping = true; }
 
