--- a/ramphinge/fleet_control/fleet_control_test.cpp
+++ b/ramphinge/fleet_control/fleet_control_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the planner at work against an emulated fleet, through lost answers and changes of the
-// planner; of suspicions, and of a stop's schedule.
+// Tests of the planner's main loop against an emulated fleet, with lost store answers and changes
+// of the planner; of suspicion reports, and of the drain schedule.
 
 #include <stdexcept>
 
@@ -32,7 +32,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A write that failed inside may or may not have taken effect, as one whose answer is lost.
+    // An exception in a write leaves it unknown whether the write took effect, as a lost answer
+    // does.
     void plannerThatFailsInsideReadsThePlanBackFirst()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
@@ -40,13 +41,14 @@
             stage.store.failNextCommitInside();
             CPPUNIT_ASSERT_THROW(stage.runner.round(yield), std::length_error);
             CPPUNIT_ASSERT_EQUAL(0, stage.channel.sent);
-            stage.runner.round(yield); // Reads back what it has written.
+            stage.runner.round(yield); // Reads the plan back.
             CPPUNIT_ASSERT_EQUAL(std::size_t(2), stage.daemon.fleet.plan.replicas.size());
             CPPUNIT_ASSERT_EQUAL(0, stage.channel.sent);
         });
     }
 
-    // In the middle of forming: its join went to the earlier life, which ends before it is ready.
+    // The join was sent to the member's previous incarnation, which ends before the replica is
+    // ready.
     void memberThatStartsAgainWhileFormingDelaysNobodyForLong()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
@@ -70,7 +72,7 @@
     void plannerFormsReplicasAndWritesThePlanFirst()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
-            // The first write of the plan fails: nothing may be ordered.
+            // The first write of the plan fails: no order may be sent.
             stage.settleServers(yield);
             stage.store.setDown(true);
             stage.runner.round(yield);
@@ -91,7 +93,7 @@
             stage.store.loseNextAnswer();
             stage.runner.round(yield);
             CPPUNIT_ASSERT_EQUAL(0, stage.channel.sent);
-            stage.runner.round(yield); // Reads back what it has written.
+            stage.runner.round(yield); // Reads the plan back.
             CPPUNIT_ASSERT_EQUAL(std::size_t(2), stage.daemon.fleet.plan.replicas.size());
             for (int i = 0; i < 80; ++i)
                 stage.step(yield);
@@ -115,7 +117,8 @@
         });
     }
 
-    // Loads that can't be written down are not ordered; those that are, the next planner knows of.
+    // A load that is not recorded in the store must not be ordered: a successor would not know of
+    // it.
     void loadsAreWrittenDownBeforeTheyAreOrdered()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
@@ -135,8 +138,8 @@
         });
     }
 
-    // A list of orders whose answer was lost is written, but what it lists was not ordered: the
-    // planner must not count it against the weight store.
+    // If the answer to the write of an order ledger is lost, the ledger is stored but its orders
+    // were not sent. The planner must not count these loads against the weight store's limit.
     void unsureListOfOrdersBlocksNothing()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
@@ -147,7 +150,7 @@
             const int before = stage.channel.sent;
             stage.step(yield);
             stage.fleet.addServers(1, 2);
-            stage.step(yield); // Another list meets the first one.
+            stage.step(yield); // The next ledger conflicts with the first one.
             CPPUNIT_ASSERT_EQUAL(before, stage.channel.sent);
             stage.daemon.sync.round(yield);
             stage.step(yield);
@@ -156,7 +159,8 @@
         });
     }
 
-    // A router suspects a replica; the planner finds the dead member long before its entry lapses.
+    // Another daemon suspects a replica; the planner detects the dead member before its entry
+    // lapses.
     void silentMemberIsReplacedBeforeItsEntryLapses()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
@@ -177,8 +181,8 @@
         });
     }
 
-    // Between two rounds of its work, which may wait long for the store, a planner loses its role
-    // to another one, and gets it back. Joins of that one may be without an answer.
+    // A planner loses its role to another one and regains it between two iterations, which may wait
+    // long for the store. The other planner's joins may be unanswered and must be recorded.
     void plannerThatWasReplacedMeanwhileStartsAnew()
     {
         withPlanner([](PlannerStage &stage, Yield yield) {
@@ -203,9 +207,9 @@
             for (const HostId &host : others.hosts)
                 stage.fleet.order({ OrderKind::Join, host, others.replica, others.epoch, model,
                                     others.hosts, true, false });
-            stage.daemon.role.round(yield); // Finds it lost.
+            stage.daemon.role.round(yield); // Detects the loss.
             stage.daemon.sync.round(yield);
-            stage.daemon.role.round(yield); // Takes it anew.
+            stage.daemon.role.round(yield); // Acquires it again.
             CPPUNIT_ASSERT(stage.daemon.role.holds(stage.clock.now()));
             const PlannedReplica *planned = nullptr;
             for (int i = 0;
@@ -222,7 +226,7 @@
         });
     }
 
-    // What a daemon suspects reaches the planner's picture, and goes with the daemon.
+    // Suspicions are written to the store, and removed with the daemon's registration.
     void suspicionsGoWithTheDaemonsRegistration()
     {
         Stage stage;
@@ -254,7 +258,7 @@
         });
     }
 
-    // In a large fleet a few daemons report a replica, not all: each report is a write.
+    // In a large fleet only a few daemons report a replica, as each report costs a write.
     void fewDaemonsReportAReplica()
     {
         Stage stage;
@@ -301,11 +305,12 @@
     {
         const MonotonicTime signalAt { std::chrono::seconds(100) };
         const DrainSchedule schedule(signalAt, std::chrono::seconds(8));
-        // The balancer may need two looks, a second apart; 3 s is the latest for a new request.
+        // The load balancer may need two health checks, a second apart; 3 s is the latest for a new
+        // request.
         CPPUNIT_ASSERT(schedule.takesUntil() > signalAt + std::chrono::seconds(2));
         CPPUNIT_ASSERT(schedule.takesUntil() < signalAt + std::chrono::seconds(3));
         CPPUNIT_ASSERT(schedule.endsAt() < signalAt + std::chrono::seconds(8));
-        // The last sixth of the grace is for what is in progress.
+        // The last sixth of the grace is left for requests in progress.
         CPPUNIT_ASSERT(schedule.endsAt() > signalAt + std::chrono::milliseconds(6667));
         const DrainSchedule brief(signalAt, std::chrono::seconds(1));
         CPPUNIT_ASSERT(brief.takesUntil() < brief.endsAt());
@@ -329,12 +334,12 @@
             daemon.sync.round(yield);
             daemon.role.round(yield);
             look();
-            runner.round(yield); // Sees the servers for the first time.
+            runner.round(yield); // Observes the servers for the first time.
             clock.advance(std::chrono::seconds(2));
             daemon.role.round(yield);
         }
 
-        // Until all servers are in replicas that serve.
+        // Runs until all servers are members of serving replicas.
         void formReplicas(Yield yield)
         {
             settleServers(yield);
@@ -358,7 +363,7 @@
             daemon.role.round(yield);
             look();
             runner.round(yield);
-            boost::asio::post(yield); // The orders are sent by coroutines of their own.
+            boost::asio::post(yield); // Lets the coroutines run that send the orders.
         }
 
         ManualClock &clock;
--- a/ramphinge/fleet_control/formation_runner.cpp
+++ b/ramphinge/fleet_control/formation_runner.cpp
@@ -1,4 +1,4 @@
-// The planner at work: see formation_runner.h.
+// The planner's main loop: see formation_runner.h.
 
 #include "ramphinge/fleet_control/formation_runner.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t maxIdleLogged = 16; // Keeps a line short.
+constexpr std::size_t maxIdleLogged = 16; // Limits the length of a log line.
 
 // Servers that can form replicas of the service.
 int countServers(const FormationInput &input)
@@ -43,7 +43,7 @@
     }
 }
 
-// This daemon is the planner from now on. What it remembers from an earlier time is out of date.
+// Starts a term as planner. State from an earlier term is out of date.
 void FormationRunner::takeOver()
 {
     m_term = m_role.lease();
@@ -52,7 +52,7 @@
     m_ledgerRevision = absentRevision;
     m_ledger = {};
     m_unsureLedger.clear();
-    // What the last planner was forming is not in its ledger yet.
+    // The predecessor's ledger lacks the replicas that it was forming.
     adopt({});
 }
 
@@ -69,7 +69,8 @@
     }
 }
 
-// Takes note of the orders that another planner wrote down, also of one that was at work until now.
+// Adopts the orders that another planner recorded in the store, even one that wrote them after this
+// daemon's term began.
 void FormationRunner::adoptOrders()
 {
     const auto found = m_fleet.ownKeys.find(FleetKeys::orders());
@@ -77,7 +78,7 @@
         return;
     m_ledgerRevision = found->second.revision;
     if (found->second.value == m_unsureLedger)
-        return; // Of this planner, which has not ordered them.
+        return; // This planner's own write, whose orders were not sent.
     const Result<OrderLedger> ledger = parseLedger(found->second.value);
     if (!ledger.ok()) {
         m_log.write(
@@ -92,8 +93,8 @@
                   { "unanswered_joins", ledger.value().unansweredJoins.size() } });
 }
 
-// Writes the joins without an answer down before the replicas that are ready in `next` are opened.
-// False if that failed.
+// Records the unanswered joins in the store before the replicas that are ready in `next` are
+// opened. Returns false if that failed.
 bool FormationRunner::writeDownJoins(const ReplicaPlan &next, Yield yield)
 {
     const OrderLedger ledger = m_book.ledger(next, m_clock.now());
@@ -105,7 +106,7 @@
     return std::all_of(joins.begin(), joins.end(), isWritten) || writeLedger(ledger, yield);
 }
 
-// Writes the loads down that `due` begins, before they are ordered. False if that failed.
+// Records the loads in `due` in the store before they are ordered. Returns false if that failed.
 bool FormationRunner::writeDownLoads(const std::vector<ServerOrder> &due, Yield yield)
 {
     OrderLedger ledger = m_book.ledger(m_fleet.plan, m_clock.now());
@@ -120,7 +121,8 @@
     const Result<Revision> written =
         m_store.commit({ { FleetKeys::orders(), text, m_ledgerRevision } }, yield);
     if (!written.ok()) {
-        // After a conflict it is certainly not written; an earlier one may be what it met.
+        // A conflict proves that this ledger was not written; it may have conflicted with an
+        // earlier uncertain one.
         if (written.error().kind() != ErrorKind::Conflict)
             m_unsureLedger = text;
         m_log.write(
@@ -134,12 +136,12 @@
     return true;
 }
 
-// Suspicions of the other daemons, from the store, and of this one.
+// Probes the replicas that this daemon suspects, and those that others report through the store.
 void FormationRunner::readSuspicions(MonotonicTime now)
 {
     for (const ReplicaId &replica : m_dispatch.suspicions.take())
         check(replica, now);
-    std::map<StoreKey, Revision> read; // Without the keys that are gone.
+    std::map<StoreKey, Revision> read; // Without removed keys.
     const std::string prefix = FleetKeys::suspicionPrefix().text();
     for (const auto &[key, stored] : m_fleet.ownKeys) {
         if (key.text().compare(0, prefix.size(), prefix) != 0)
@@ -184,7 +186,7 @@
     }
 }
 
-// The servers to plan with: without those that are dead though their entries stand.
+// Updates the servers to plan with: all but those that are presumed dead.
 void FormationRunner::refreshLiving(MonotonicTime now)
 {
     const ServerMap &servers = m_fleet.servers.servers();
@@ -199,7 +201,7 @@
         m_living.erase(host);
 }
 
-// What is thrown inside may have come after a write of the plan.
+// An exception may have been thrown after a write of the plan.
 void FormationRunner::round(Yield yield)
 {
     try {
@@ -212,7 +214,8 @@
 
 void FormationRunner::plan(Yield yield)
 {
-    // Also while another daemon plans: the next planner should know who has been there for long.
+    // Also while another daemon is the planner: a successor must know how long servers have been
+    // present.
     m_presence.observe(m_fleet.servers, m_clock.now());
     if (!m_role.holds(m_clock.now()) || !m_dispatch.catalog) {
         m_term = noLease;
@@ -231,7 +234,7 @@
     }
     m_book.setTrafficSeen(m_dispatch.sawRequest || m_continues);
     m_book.observe(m_fleet.servers.servers(), m_fleet.plan, now);
-    const CatalogPointer catalog = m_dispatch.catalog; // Held while this step waits.
+    const CatalogPointer catalog = m_dispatch.catalog; // Kept alive while this waits for the store.
     adoptOrders();
     for (const ServiceEntry &service : catalog->services()) {
         if (service.engine && !service.engine->models.empty() && !m_planUnsure)
@@ -239,8 +242,8 @@
     }
 }
 
-// Servers that must not be given to another replica now; orders to one that has asked for no
-// requests are withheld.
+// Servers that must not be assigned to another replica now, including those that have asked for a
+// pause in requests: no orders are sent to them.
 std::set<HostId> FormationRunner::unusable(MonotonicTime now) const
 {
     std::set<HostId> hosts = m_book.unusable(m_fleet.servers.servers(), now);
@@ -317,7 +320,7 @@
         return false;
     }
     const std::string text = serialize(next);
-    const ReplicaPlan before = m_fleet.plan; // A watch may bring the new one before the answer.
+    const ReplicaPlan before = m_fleet.plan; // A watch may deliver the new one before the answer.
     const Result<Revision> written =
         m_store.commit({ { FleetKeys::plan(), text, m_fleet.planRevision } }, yield);
     if (!written.ok()) {
@@ -352,14 +355,14 @@
     m_onChange();
 }
 
-// What the planner works with: where the servers are, and why some serve nobody.
+// Logs the planner's input: the servers by state, and why some are idle.
 void FormationRunner::logSummary(const ServiceEntry &service, const FormationInput &input)
 {
     const MonotonicTime now = m_clock.now();
     if (now - m_summaryAt < m_options.summary)
         return;
     m_summaryAt = now;
-    std::map<std::string, int> servers; // By the phase of their replica.
+    std::map<std::string, int> servers; // By the phase and model of their replica, or by state.
     std::map<std::string, double> shares;
     nlohmann::json idle = nlohmann::json::array();
     for (const auto &[host, server] : input.servers) {
--- a/ramphinge/fleet_control/formation_runner.h
+++ b/ramphinge/fleet_control/formation_runner.h
@@ -1,5 +1,5 @@
-// The planner at work: while this daemon holds the planner's role, plans, writes the plan, and
-// sends the orders that follow from it.
+// The planner's main loop: while this daemon holds the planner role, computes the plan of replicas,
+// writes it to the store, and sends servers the orders that follow from it.
 
 #pragma once
 
@@ -17,12 +17,12 @@
 
 struct FormationRunnerOptions
 {
-    // Between two looks at what is due. News from the store is at least this old anyway.
+    // Time between two iterations. Changes from the store are delayed by at least this much anyway.
     Duration interval = std::chrono::milliseconds(100);
-    // Between two summaries of the planner's work in the log.
+    // Time between two summaries in the log.
     Duration summary = std::chrono::seconds(1);
     Duration orderTimeout = std::chrono::milliseconds(700);
-    // Asking a server whether it lives: it answers without waiting for a place, in milliseconds.
+    // For a liveness probe: a server answers it without queueing, within milliseconds.
     Duration probeTimeout = std::chrono::milliseconds(300);
     DeathWatchOptions deaths;
     PresenceOptions presence;
@@ -41,14 +41,15 @@
     // Runs until stop().
     void run(Yield yield);
 
-    // One round of run(): plans, writes the plan if it changes, sends what is due.
+    // One iteration of run(): plans, writes the plan if it changes, sends the orders that are due.
+    // Throws what a part of it throws; the next iteration then reads the plan back first.
     void round(Yield yield);
     void stop() { m_stopping = true; }
 
 private:
     void plan(Yield yield);
     void takeOver();
-    // Whether nobody else can have planned since takeOver().
+    // Whether no other planner can have been active since takeOver().
     bool stillPlans(MonotonicTime now) const;
     void readSuspicions(MonotonicTime now);
     void check(const ReplicaId &replica, MonotonicTime now);
@@ -60,7 +61,8 @@
     bool writeDownLoads(const std::vector<ServerOrder> &due, Yield yield);
     bool writeLedger(const OrderLedger &ledger, Yield yield);
     void planService(const ServiceEntry &service, Yield yield);
-    // Of the model, in servers, since heads of its replicas limit their rate.
+    // Capacity of the model, in servers, that is unavailable since heads of its replicas limit
+    // their rate.
     double withheld(const EngineProfile &engine, const ModelProfile &model,
                     MonotonicTime now) const;
     std::set<HostId> unusable(MonotonicTime now) const;
@@ -86,18 +88,19 @@
     OrderBook m_book;
     Presence m_presence;
     DeathWatch m_deaths;
-    std::set<HostId> m_dead; // Servers that are taken for dead though their entries stand.
-    ServerMap m_living; // The view without them; only while there are any.
-    std::map<StoreKey, Revision> m_suspicionsRead; // Up to which revision of each daemon's key.
-    MonotonicTime m_summaryAt; // Of the last summary in the log.
-    Revision m_ledgerRevision; // Of the ledger that the book knows; absentRevision for none.
+    std::set<HostId> m_dead; // Servers that are presumed dead although their entries exist.
+    ServerMap m_living; // The view without m_dead; empty if m_dead is.
+    std::map<StoreKey, Revision> m_suspicionsRead; // Last processed revision of each daemon's key.
+    MonotonicTime m_summaryAt; // The last summary in the log.
+    Revision m_ledgerRevision; // Of the ledger that m_book reflects; absentRevision for none.
     OrderLedger m_ledger; // As last written by this planner.
-    std::string m_unsureLedger; // A ledger that may or may not have been written; not acted on.
-    // The role's lease under which this daemon is the planner; noLease while it isn't. Another one
-    // means that somebody else may have planned in between.
+    // Its write failed but may have taken effect; its orders were not sent.
+    std::string m_unsureLedger;
+    // The lease under which this daemon is the planner; noLease while it isn't. If the role's lease
+    // differs, another planner may have been active in between.
     LeaseId m_term = noLease;
-    bool m_continues = false; // Another planner was at work before: traffic may have begun.
-    bool m_planUnsure = false; // A write of the plan may or may not have taken effect.
+    bool m_continues = false; // A predecessor left a plan: traffic may have begun.
+    bool m_planUnsure = false; // A failed write of the plan may have taken effect.
     bool m_stopping = false;
 };
 
