--- a/ramphinge/fleet_control/internal/daemon_fixture.h
+++ b/ramphinge/fleet_control/internal/daemon_fixture.h
@@ -1,5 +1,5 @@
-// What the tests of this library share: a store that misbehaves on demand, documents of their own,
-// and one daemon's parts over it.
+// Test fixtures of this library: stores with fault injection, a simple document format, and the
+// components of one daemon on top of a store.
 
 #pragma once
 
@@ -31,7 +31,7 @@
     return engine;
 }
 
-// Documents of the tests' own: a catalog is its version, a server's entry its service.
+// A simple format: a catalog is its version number, a server's entry its service and start time.
 class TestDecoder : public DocumentDecoder
 {
 public:
@@ -68,7 +68,7 @@
     }
 };
 
-// Orders go to the emulator.
+// Delivers orders to the emulated fleet.
 class EmulatedChannel : public OrderChannel
 {
 public:
@@ -93,7 +93,7 @@
     FleetEmulator &m_fleet;
 };
 
-// One daemon's parts over a store that several share.
+// The components of one daemon, on a store that several daemons may share.
 class DaemonParts
 {
 public:
@@ -113,7 +113,7 @@
         options.key = FleetKeys::planner();
         options.value = name;
         options.contention = {};
-        options.renewal = {}; // No waits after failures.
+        options.renewal = {}; // No delays after failures.
         return options;
     }
 
@@ -126,7 +126,7 @@
     int changes = 0;
 };
 
-// A store that grants shorter leases than are asked for, as it may.
+// Grants shorter leases than requested, as a store may.
 class SparingStore : public MemoryKeyValueStore
 {
 public:
@@ -138,7 +138,7 @@
     }
 };
 
-// A store whose next watch is answered, but the answer comes after what the caller does meanwhile.
+// Runs a callback between the next watch and the delivery of its answer.
 class SlowWatchStore : public MemoryKeyValueStore
 {
 public:
@@ -156,7 +156,7 @@
     std::function<void(Yield)> meanwhile;
 };
 
-// A store whose next list, lease or write is answered after what the caller does meanwhile.
+// Runs a callback between the next list, lease grant or write and the delivery of its answer.
 class SlowAnswerStore : public MemoryKeyValueStore
 {
 public:
@@ -191,7 +191,7 @@
     std::function<void(Yield)> duringCommit;
 };
 
-// Runs `body` over a store and a clock.
+// Runs a test body as a coroutine, with an in-memory store and a manual clock.
 class Stage
 {
 public:
--- a/ramphinge/fleet_control/relayed_sync_test.cpp
+++ b/ramphinge/fleet_control/relayed_sync_test.cpp
@@ -1,5 +1,5 @@
-// Tests of a picture that follows a relay: what is taken over, what it proves, and when the store
-// itself is asked.
+// Tests of a view that follows a relay: which changes are applied, how fresh the view counts, and
+// when the store itself is called.
 
 #include <deque>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Answers from a list; what was asked is kept. Without an answer left there is nobody to ask.
+// Returns scripted answers and records the requests. Without an answer left, no relay can be asked.
 class ListedNews : public NewsSource
 {
 public:
@@ -28,7 +28,7 @@
         return answer;
     }
 
-    // Changes that were proved so long ago.
+    // Adds an answer that was complete `ago` before now.
     void say(Revision upTo, std::vector<StoreChange> changes, Duration ago = {})
     {
         RelayedNews news;
@@ -79,7 +79,7 @@
     return { StoreKey(std::string("server/") + name), StoredValue { "chat", Revision(revision) } };
 }
 
-// A daemon that has listed a store with server a, and may ask a relay.
+// A daemon that has listed a store with server a, and can ask a relay.
 class RelayedDaemon
 {
 public:
@@ -142,7 +142,7 @@
     void newsOfARelayNeedNoCallOfTheStore()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
-            clock.advance(std::chrono::seconds(3)); // The start counts as a return of the store.
+            clock.advance(std::chrono::seconds(3)); // The start counts as the end of an outage.
             relayed.daemon.sync.round(yield);
             relayed.callsSince();
             relayed.news.say(Revision(3), { serverChange("b", 3) });
@@ -169,7 +169,7 @@
             relayed.news.say(Revision(2), {}, std::chrono::milliseconds(900));
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(*relayed.daemon.dispatch.freshness.age(clock.now())
-                           == std::chrono::milliseconds(700)); // An older proof takes nothing back.
+                           == std::chrono::milliseconds(700)); // An older proof changes nothing.
         });
     }
 
@@ -198,12 +198,12 @@
             CPPUNIT_ASSERT_EQUAL(0, relayed.callsSince());
             relayed.news.answers.push_back(Error(ErrorKind::Unknown, "no answer"));
             relayed.news.say(Revision(4), { serverChange("c", 4) });
-            relayed.daemon.sync.round(yield); // That took its time: no other one is waited for.
+            relayed.daemon.sync.round(yield); // The failure was slow: no other relay is asked.
             CPPUNIT_ASSERT_EQUAL(1, relayed.callsSince());
         });
     }
 
-    // The relay is cut off from the store and doesn't know it yet: its proof stands still.
+    // The relay is partitioned from the store and has not detected it: its proof is not renewed.
     void oldPictureIsRenewedFromTheStore()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
@@ -221,7 +221,7 @@
         });
     }
 
-    // Also with a picture that is too old: the store would tell the same changes, at a call each.
+    // Even if the view is too old: the store would return the same changes, one call per part.
     void relayIsAskedOnWhileItHasMoreToTell()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
@@ -239,8 +239,8 @@
         });
     }
 
-    // The relay stands still with the question: the store is asked in time all the same, though the
-    // picture was as old as it may be.
+    // A relay stalls during a request that begins when the view is almost as old as allowed: the
+    // store must still be called within the bounds.
     void silentRelayIsReplacedWithinTheBounds()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
@@ -261,7 +261,7 @@
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &, Yield yield) {
             relayed.store.put(StoreKey("server/b"), "chat");
-            relayed.daemon.sync.round(yield); // From the store itself: revision 3.
+            relayed.daemon.sync.round(yield); // Revision 3, from the store itself.
             relayed.news.say(Revision(2), {});
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(relayed.knows("b"));
@@ -288,7 +288,8 @@
         });
     }
 
-    // For ten seconds; and soon enough if only the relay has lost it.
+    // During an outage of ten seconds. Once the store is back and only the relay can't reach it,
+    // the daemon must still notice in time.
     void lostStoreIsAskedSeldomBesideALostRelay()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
@@ -320,7 +321,7 @@
     void relaysAndDaemonsWithoutOneAskTheStore()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &, Yield yield) {
-            relayed.isRelay = true; // The source says itself that a relay can't ask.
+            relayed.isRelay = true; // canAsk() returns false on a relay.
             relayed.store.put(StoreKey("server/b"), "chat");
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(relayed.knows("b"));
@@ -350,8 +351,9 @@
         });
     }
 
-    // For bounds of three and more seconds: a relay's proof is two of its watches and a gathering
-    // old when it answers at the end of the wait, and that may not be too old already.
+    // A relay that answers at the end of the wait has a proof as old as two of its watches, one
+    // batching delay and the wait. For bounds from three seconds on, that must be within the
+    // maximum age.
     void timesOfAHopFitTheBounds()
     {
         for (int seconds = 3; seconds <= 12; ++seconds) {
@@ -374,7 +376,7 @@
             DaemonParts daemon(io, stage.clock, store, "d1");
             LinkKeyWriter writer(io, stage.clock, store, daemon.fleet, daemon.role, daemon.log);
             daemon.sync.round(yield);
-            writer.round(yield); // Not the planner yet.
+            writer.round(yield); // This daemon is not the planner yet.
             CPPUNIT_ASSERT(!store.value(FleetKeys::linkKey()));
             daemon.role.round(yield);
             writer.round(yield);
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -1,4 +1,4 @@
-// The picture of the store: see store_sync.h.
+// The daemon's view of the store: see store_sync.h.
 
 #include "ramphinge/fleet_control/store_sync.h"
 
@@ -13,41 +13,41 @@
 
 constexpr const char *ownPrefix = "ramphinge/";
 constexpr double retrySpread = 1.0;
-// Each call is paid for, so changes are gathered for as long as can be: the rest of the time is for
-// the call, and for a busy daemon.
+// Part of the allowed delay of a change that is spent on batching, since store calls are billed.
+// The rest is for the call itself and for scheduling delays of a busy daemon.
 constexpr double gatherShare = 0.5;
-// Taken off the time that a proof lasts: answers on their way, and a busy daemon.
+// Subtracted from the lifetime of a proof, for network and scheduling delays.
 constexpr Duration proofSlack = std::chrono::milliseconds(500);
 constexpr Duration shortestWatch = std::chrono::milliseconds(300);
-// Longer watches save nothing: servers' entries change more often.
+// Longer watches save no calls: servers' entries change more often.
 constexpr Duration longestWatch = std::chrono::seconds(5);
-// From the failure of a watch until the picture is new again: a retry, a call that takes a few
-// milliseconds, and slack for a busy daemon.
+// From the failure of a watch until the view is current again: the retry delay, a call of a few
+// milliseconds, and a margin for scheduling delays.
 constexpr Duration recovery = std::chrono::milliseconds(400);
-// The first call after a failed one only finds out whether the store answers.
+// The first call after a failed one only checks whether the store answers.
 constexpr Duration probeWait = std::chrono::milliseconds(1);
-// Taken off the time that kept servers get: a round of expiry, and requests on their way.
+// Subtracted from the grace period of retained servers, for one expiry interval and requests in
+// flight.
 constexpr Duration graceSlack = std::chrono::milliseconds(200);
 
-// Where the bounds allow a picture to be this old at most, relays aren't asked: their own watches,
-// 300 ms each at least, and a question would use all of it.
+// If the bounds allow no older view than this, relays aren't used: their own watches, at least 300
+// ms each, and the request to the relay would take all of that time.
 constexpr Duration leastRelayedAge = std::chrono::milliseconds(1200);
-// Part of that age that a question to a relay waits, and part that passes between two: the rest is
-// for the relay's own watches.
+// Parts of the maximum age that a request to a relay may wait, and that may pass between two
+// requests. The rest is for the relay's own watches.
 constexpr double relayedWaitShare = 0.3;
 constexpr double relayedGatherShare = 0.2;
-// Calls that a daemon makes at least, while it has lost the store, within the time after which it
-// must be in touch again. Two would do; in 5.6 s of an outage 295 daemons make 950 calls so, and
-// made 4,800 with one every 100 to 200 ms.
+// Minimum number of store calls within the connectivity grace during an outage; two would suffice.
+// In an outage of 5.6 s 295 daemons make 950 calls, and 4,800 with one call every 100 to 200 ms.
 constexpr int lostCalls = 3;
-// A relay's calls: ten relays that gather for half a second make 20 calls a second for 295 daemons,
-// which made 470 a second by themselves.
+// With half a second of batching, ten relays make 20 calls a second to the store; without relays
+// 295 daemons made 470 a second.
 constexpr Duration gatherAsRelay = std::chrono::milliseconds(500);
 
-// A zone's relays and reserves.
+// A zone has this many relays and reserve relays.
 constexpr int mostRelaysAsked = 4;
-// A relay that has nothing to tell says so within a few milliseconds; one that took longer has used
-// up the time for another.
+// A relay without a view refuses within a few milliseconds. After a slower failure there is no time
+// left to ask another relay.
 constexpr Duration quickRefusal = std::chrono::milliseconds(100);
 
 bool isOwn(const StoreKey &key)
@@ -59,10 +59,10 @@
 
 namespace {
 
-// A picture that is as old as `relayedAge` when a relay is asked gets no answer, in the worst case,
-// for the question's lateness; then the store is asked, for which `recovery` is kept. All that must
-// be over when the bounds end. A relay's own proof is two of its watches and one gathering old, and
-// a question may wait.
+// In the worst case the view is already `relayedAge` old when a relay is asked, and the request
+// fails only after `watchLateness`. Then the store is called, which takes up to `recovery`. All of
+// that must fit within the bounds. A relay's own proof is up to two of its watches and one batching
+// delay old, and the relay may let the request wait.
 void setRelayTimes(StoreSyncOptions &options, const PictureBounds &bounds)
 {
     Duration strictest = std::min(bounds.changeInForce, bounds.connectivityGrace);
@@ -91,12 +91,12 @@
         std::min(scaled(bounds.changeInForce, gatherShare), bounds.connectivityGrace / 3);
     if (bounds.proofLasts)
         options.gather = std::min(options.gather, *bounds.proofLasts / 3);
-    // A connection may go silent as the daemon begins to gather: that, the watch on it and the call
-    // after it must be over when the daemon's picture has to be in time again. A watch of 5 s left
-    // one daemon of 68 without news for 8 s after the store had been away for 2.4 s.
+    // A connection may stall at the beginning of the batching delay: the delay, the watch that
+    // times out and the call after it must fit within the connectivity grace. With watches of 5 s,
+    // one daemon of 68 got no changes for 8 s after an outage of 2.4 s.
     Duration longest = bounds.connectivityGrace - options.gather - watchLateness - recovery;
-    // A watch proves, when it ends, what held when it began. So while one waits, the proof dates
-    // from the beginning of the one before.
+    // A watch that ends proves that the view was current when the watch began. So during a watch,
+    // the proof dates from the beginning of the previous one.
     if (bounds.proofLasts)
         longest = std::min(longest, (*bounds.proofLasts - options.gather - proofSlack) / 2);
     options.watchWait = std::clamp(longest, shortestWatch, longestWatch);
@@ -124,8 +124,8 @@
     }
 }
 
-// Where changes come faster than one answer holds, gathering would let the picture fall behind for
-// as long as they do.
+// No batching while an answer was truncated: the view would fall further behind for as long as
+// changes exceed the size of one answer.
 Duration StoreSync::pauseAfterRound()
 {
     if (!m_fleet.storeReachable)
@@ -159,8 +159,8 @@
     return forOthers ? m_options.watchWaitAsRelay : m_options.watchWait;
 }
 
-// What is thrown inside may have left out a part of the news that are counted as taken in, so the
-// picture is listed anew, and counts as one whose store is lost until then.
+// After an exception, changes that count as applied may be missing from the view. So the store is
+// listed again, and counts as unreachable until then.
 void StoreSync::round(Yield yield)
 {
     const MonotonicTime startedAt = m_clock.now();
@@ -203,8 +203,8 @@
     }
 }
 
-// The daemon's ways may be sound since m_brokenAt, and `connectivityGrace` later it must not
-// believe in servers that left.
+// Connectivity may have been restored right after m_brokenAt, and `connectivityGrace` later
+// departed servers must get no requests.
 MonotonicTime StoreSync::believedUntil() const
 {
     return m_brokenAt + m_options.connectivityGrace - graceSlack;
@@ -221,7 +221,8 @@
         m_onChange();
 }
 
-// Before what the answer brings is applied: whose entries are kept depends on it.
+// Must be called before the answer's changes are applied: it decides which missing servers are
+// retained.
 void StoreSync::noteAnswered(MonotonicTime answeredAt)
 {
     const MonotonicTime now = m_clock.now();
@@ -240,16 +241,15 @@
                   { "keeps_missing_ms", mayHaveLapsed ? toMilliseconds(graceEnd - now) : 0 } });
 }
 
-// What a failed call proves of the ways to the store is dated by the earliest moment at which they
-// may have been sound again. The first one in a row may have failed by its kept connection alone,
-// which may have gone silent right after the last answer, a gathering before; where more time has
-// passed the process itself stood still. Later ones use connections of their own.
-// A store that turns calls away for being too many has answered. This guards against requests to
-// servers that left: one silent connection would keep them for 0.8 s longer than the 3 s that are
-// allowed (test of a silent connection, default bounds).
+// Dates the outage by the earliest moment at which connectivity may have been restored. The first
+// failure in a row may be due to its persistent connection alone, which may have stalled right
+// after the last answer, one batching delay earlier; if more time has passed, the process itself
+// was suspended. Later calls use new connections. A store that rejects calls as overloaded is
+// reachable. Dating it by the failed call instead would retain departed servers after a stalled
+// connection for 0.8 s longer than the 3 s that the default bounds allow.
 void StoreSync::noteFailed(MonotonicTime startedAt, const Error &error)
 {
-    // With a relay's news, the kept connection may have been silent for longer.
+    // With a relay, the persistent connection may have stalled earlier.
     const MonotonicTime silentSince =
         m_relayed ? m_directlyAnsweredAt : std::max(m_answeredAt, startedAt - m_options.gather);
     if (error.kind() != ErrorKind::Overloaded)
@@ -318,8 +318,8 @@
     return Done {};
 }
 
-// From the first relay that has a picture: one that has none says so at once, and the next one
-// costs no call of the store.
+// Asks relays until one has a view: one without refuses immediately, and asking the next one costs
+// no store call.
 Result<RelayedNews> StoreSync::nextNews(Duration wait, Yield yield)
 {
     const bool storeLost = !m_fleet.storeReachable;
@@ -334,11 +334,11 @@
     }
 }
 
-// A watch by way of a relay; by way of the store if that fails, or leaves the picture too old.
+// One watch through a relay; on the store itself if that fails or the view is too old.
 Status StoreSync::askRelay(Yield yield)
 {
     const Duration left = m_provenAt + m_options.relayedAge - m_clock.now();
-    // While a relay still has changes to tell, the store would tell the same ones.
+    // While the relay has more changes to deliver, the store would return the same ones.
     const bool isCatchingUp = m_relayed && !m_reachedPresent;
     if (m_fleet.storeReachable && left <= Duration::zero() && !isCatchingUp)
         return watchOnce(probeWait, yield);
@@ -368,7 +368,7 @@
 
 void StoreSync::applyBatch(const WatchBatch &batch)
 {
-    // A relay's picture may be behind what the store itself told.
+    // A relay's view may be older than what the store itself returned.
     m_upTo = std::max(m_upTo, batch.upTo);
     for (const StoreChange &change : batch.changes)
         apply(change.key, change.stored);
@@ -386,7 +386,7 @@
         applyOwn(key, stored);
 }
 
-// A picture begun at `startedAt` holds every change up to then.
+// Records that the view includes every change up to `startedAt`, when its list or watch began.
 void StoreSync::proveFresh(MonotonicTime startedAt)
 {
     m_provenAt = std::max(m_provenAt, startedAt);
@@ -414,8 +414,8 @@
                     { { "version", version.count() }, { "revision", stored.revision.count() } });
 }
 
-// An entry that can't be understood, of another writer say, names no server to use, whatever it
-// named before. The others hold.
+// A server whose entry can't be decoded, such as one that another program wrote, is dropped even if
+// it was known before. Other servers are unaffected.
 void StoreSync::noteUnreadable(const ServerName &name, const Error &why)
 {
     ++m_fleet.unreadableEntries;
@@ -463,7 +463,7 @@
                 { { "revision", stored->revision.count() }, { "why", taken.error().message() } });
         return;
     }
-    // This daemon's own write may be newer than all that the store's answer tells.
+    // This daemon's own write may be newer than the store's answer.
     const auto present = m_fleet.ownKeys.find(key);
     if (present != m_fleet.ownKeys.end() && m_upTo < present->second.revision)
         return;
--- a/ramphinge/fleet_control/store_sync.h
+++ b/ramphinge/fleet_control/store_sync.h
@@ -1,11 +1,11 @@
-// Keeps the daemon's picture equal to the store's: one list at the start, then one watch over all
-// keys. A watch that returns also proves that the catalog is the newest, so it never waits for
-// longer than the proof may be old.
+// Keeps the daemon's view of the store current: one list at the start, then consecutive watches
+// over all keys. A watch that returns also proves that the catalog was current when the watch
+// began, so no watch waits for longer than the maximum age of that proof.
 //
-// Where there are relays the watch goes to one of them instead: each change of a key wakes all
-// watches, so watches on the store grow with daemons times changes. What a relay tells comes with
-// the moment up to which it holds; a picture that gets too old that way, for whatever reason, is
-// renewed from the store at once.
+// With relays the watch goes to one of them instead: each change of a key completes all watches, so
+// the calls on the store grow with daemons times changes. A relay's answer says up to which moment
+// it is complete; a view that gets too old that way, for whatever reason, is updated from the store
+// immediately.
 
 #pragma once
 
@@ -18,64 +18,64 @@
 
 namespace ramphinge {
 
-// Tells what a key that daemons don't write is, and decodes it. Decides nothing.
+// Classifies and decodes the keys that daemons don't write. Makes no decisions.
 class DocumentDecoder
 {
 public:
     virtual ~DocumentDecoder() = default;
 
     virtual bool isCatalog(const StoreKey &key) const = 0;
-    // The server that a key is the entry of; empty if it is no server's.
+    // The server whose entry the key holds; empty if it is not a server's key.
     virtual ServerName serverOf(const StoreKey &key) const = 0;
     virtual Result<CatalogContent> decodeCatalog(const std::string &value) const = 0;
-    // The life of that server that the entry is of. Errors: InvalidInput; then the entry names no
-    // server to use.
+    // The incarnation of the server that the entry describes. Errors: InvalidInput; then the server
+    // must not be used.
     virtual Result<UpstreamServer> decodeServer(const ServerName &name,
                                                 const std::string &value) const = 0;
 };
 
 struct StoreSyncOptions
 {
-    // How long one watch waits. Two of them and `gather` must be shorter than the proof may be old.
-    // And `gather`, one of them and the call after it must be shorter than `connectivityGrace`.
+    // How long one watch waits. Two watches plus `gather` must be shorter than the maximum age of
+    // the freshness proof; `gather` plus one watch and the call after it, than `connectivityGrace`.
     Duration watchWait = std::chrono::milliseconds(1000);
-    // After a watch that brought changes, before the next: changes that come close together cost
-    // one call, not many.
+    // Delay after a watch that returned changes, so that changes in quick succession cost one call.
     Duration gather = std::chrono::milliseconds(1000);
     Duration gatherAsPlanner = std::chrono::milliseconds(100);
-    // Before the next call after a failed one; up to twice as long, at random. Not longer after
-    // many failures: the sooner the store is back, the sooner servers that left are known.
+    // Delay after a failed call, with jitter up to twice as long. No exponential backoff: after an
+    // outage, departed servers must be known soon.
     Duration retry = std::chrono::milliseconds(100);
-    // How long after the daemon's ways are sound again its picture must be in time.
+    // How long after its connectivity is restored the daemon's view must be within its bounds
+    // again.
     Duration connectivityGrace = std::chrono::seconds(3);
-    // How long servers are kept whose entries are gone when the store returns: those that live are
-    // back within two seconds. Not longer: some have left meanwhile, and must get no requests.
+    // How long servers are retained whose entries are missing when the store is back: live servers
+    // register again within two seconds. Not longer: departed ones must get no requests.
     Duration returnGrace = std::chrono::milliseconds(2200);
-    // An entry lapses only if the store was away for so long: it stands for three heartbeats, and
-    // the last one came up to one before the store went away.
+    // Shortest outage of the store in which an entry can lapse: entries last for three heartbeats,
+    // and the last heartbeat was up to one interval before the outage.
     Duration entriesStand = std::chrono::milliseconds(2400);
-    // With news from a relay: how old the proof may be that the picture holds every change. Beyond
-    // it the store itself is asked. Zero: the bounds leave no time for a hop, relays aren't asked.
+    // Maximum age of the freshness proof of a view that follows a relay; the store itself is called
+    // if it is older. Zero: the bounds leave no time for relaying, so relays aren't used.
     Duration relayedAge {};
-    Duration relayedWait {}; // How long a relay may wait for a first change.
-    // Between two calls of a daemon that has lost the store and hears from a relay that it has lost
-    // it too: that one tells when the store is back.
+    Duration relayedWait {}; // How long a relay may wait for a change before it answers.
+    // Between two store calls of a daemon that can't reach the store and whose relay can't either:
+    // a relay answers once the store is back.
     Duration lostInterval {};
-    Duration gatherRelayed {}; // After a relay's news, before the next question.
-    Duration watchWaitAsRelay {}; // A relay's own watches.
+    Duration gatherRelayed {}; // Delay after changes from a relay.
+    Duration watchWaitAsRelay {}; // For the watches of a daemon that is a relay.
     Duration gatherAsRelay {};
-    // Between two looks at whether the time of kept servers is over.
+    // How often retained servers are checked for the end of their grace period.
     Duration expiryInterval = std::chrono::milliseconds(100);
 };
 
-// The bounds that the operators set on how old a daemon's picture may be.
+// Operators' limits on the staleness of a daemon's view.
 struct PictureBounds
 {
-    // Changes must be heeded so long after they were acknowledged ...
+    // Maximum time from the acknowledgment of a change until a connected daemon applies it.
     Duration changeInForce = std::chrono::seconds(2);
-    // ... by a daemon whose ways have been sound for so long.
+    // A daemon counts as connected once its connectivity has been restored for this long.
     Duration connectivityGrace = std::chrono::seconds(3);
-    // How long the proof that keys hold is good; without a limit if absent.
+    // How long a proof that keys have not been revoked is valid; unlimited if absent.
     std::optional<Duration> proofLasts;
     // How often servers renew their entries.
     Duration serverHeartbeat = std::chrono::milliseconds(1200);
@@ -91,23 +91,24 @@
               const DocumentDecoder &decoder, FleetState &fleet, DispatchState &dispatch,
               DecisionLog &log, std::function<bool()> isPlanner, std::function<void()> onChange);
 
-    // From now on changes come from `source` while it can be asked, and `listener` follows what the
-    // store itself tells. `isRelay` says whether others depend on this picture. All outlive this.
+    // From now on changes come from `source` while it has a relay to ask, and `listener` is
+    // notified of what the store itself returns. `isRelay` says whether other daemons follow this
+    // view. `source` and `listener` must outlive this object.
     void useRelays(NewsSource &source, PictureListener &listener, std::function<bool()> isRelay);
 
-    // Runs until stop(). `onChange` is called after each change of the picture.
+    // Runs until stop(). Calls `onChange` after each change of the view.
     void run(Yield yield);
 
-    // One round of run(): a list or a watch, and what follows from its outcome.
-    // Throws what a part of it throws; the next round then lists the store anew.
+    // One iteration of run(): one list or watch, and the update of the view.
+    // Throws what a part of it throws; the next iteration then lists the store again.
     void round(Yield yield);
-    // How long run() waits after the round that is over.
+    // How long run() waits before the next iteration.
     Duration pauseAfterRound();
 
-    // Runs until stop(), beside run(), which may wait for the store when their time is over: lets
-    // go of servers that were kept after the store's return.
+    // Runs until stop(): removes retained servers when their grace period ends. Concurrent to
+    // run(), which may be waiting for the store at that time.
     void runExpiry(Yield yield);
-    // One step of runExpiry().
+    // One iteration of runExpiry().
     void expireKept();
     void stop() { m_stopping = true; }
 
@@ -126,7 +127,7 @@
     void applyServer(const ServerName &name, const std::optional<StoredValue> &stored);
     void noteUnreadable(const ServerName &name, const Error &why);
     void applyOwn(const StoreKey &key, const std::optional<StoredValue> &stored);
-    // Until when servers may be believed in that may have left.
+    // Until when servers that may have departed are retained during an outage.
     MonotonicTime believedUntil() const;
     void noteAnswered(MonotonicTime answeredAt);
     void noteFailed(MonotonicTime startedAt, const Error &error);
@@ -142,20 +143,21 @@
     std::function<bool()> m_isPlanner;
     std::function<void()> m_onChange;
     Random m_random;
-    Revision m_upTo; // The picture holds every change up to here.
-    // When the store last answered, this daemon or the relay whose news were taken over.
+    Revision m_upTo; // The view includes every change up to this revision.
+    // The store's last answer, to this daemon or to the relay whose changes were applied.
     MonotonicTime m_answeredAt;
-    MonotonicTime m_directlyAnsweredAt; // This daemon.
-    MonotonicTime m_calledAt; // When this daemon last called the store.
-    MonotonicTime m_provenAt; // The picture holds every change up to then. Never moves back.
-    // The ways to the store were not sound at this moment, as far as failed calls prove.
+    MonotonicTime m_directlyAnsweredAt; // The store's last answer to this daemon itself.
+    MonotonicTime m_calledAt; // The begin of this daemon's last watch on the store.
+    MonotonicTime m_provenAt; // The view includes all changes up to this time. Never decreases.
+    // Latest time at which failed calls prove that the store could not be reached.
     MonotonicTime m_brokenAt;
-    bool m_catalogReadable = true; // The newest one was understood, so it is in force.
-    bool m_hadNews = false; // The last round brought changes.
-    bool m_reachedPresent = true; // And left none out: else the next round follows at once.
-    bool m_relayed = false; // The last answer came by way of a relay.
-    NewsSource *m_source = nullptr; // Null: there are no relays.
-    PictureListener *m_listener = nullptr; // Null as long as m_source is.
+    bool m_catalogReadable = true; // The newest catalog could be decoded, so it is in use.
+    bool m_hadNews = false; // The last answer contained changes.
+    // The last answer was complete; else the next iteration follows immediately.
+    bool m_reachedPresent = true;
+    bool m_relayed = false; // The last answer came from a relay.
+    NewsSource *m_source = nullptr; // Null if there are no relays.
+    PictureListener *m_listener = nullptr; // Null if m_source is.
     std::function<bool()> m_isRelay = [] { return false; };
     bool m_stopping = false;
 };
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the daemon's picture of the store: changes, damaged documents, outages, and how long is
-// believed what the store can't confirm.
+// Tests of the daemon's view of the store: changes, damaged documents, outages, and how long
+// servers are retained that the store can't confirm.
 
 #include <stdexcept>
 
@@ -51,7 +51,8 @@
             CPPUNIT_ASSERT(daemon.fleet.synced);
             CPPUNIT_ASSERT(daemon.dispatch.catalog->version() == CatalogVersion(3));
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a")) != nullptr);
-            stage.clock.advance(std::chrono::seconds(3)); // The start counts as a return.
+            // The start counts as the end of an outage.
+            stage.clock.advance(std::chrono::seconds(3));
             store.put(StoreKey("server/b"), "chat");
             store.erase(StoreKey("server/a"));
             store.put(catalogKey, "5");
@@ -83,18 +84,16 @@
         });
     }
 
-    // What users could have seen: requests to servers that left, for as long as the daemon runs.
-    //
-    // Cause: news are counted as taken in before they are. What was thrown by one of several
-    // changes left out those after it for good, and the daemon still believed itself in touch with
-    // the store. Evidence: the second server stayed unknown, and the store counted as reachable.
+    // Guards against requests to departed servers for as long as the daemon runs. The revision of a
+    // batch is recorded before its changes are applied; an exception in one change lost all later
+    // ones of the batch, and the store still counted as reachable.
     void pictureIsListedAnewAfterAFailureInside()
     {
         Stage stage;
         stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             DaemonParts daemon(io, stage.clock, store, "d1");
             daemon.sync.round(yield);
-            store.put(StoreKey("server/a"), "chat no-number"); // The tests' decoder throws.
+            store.put(StoreKey("server/a"), "chat no-number"); // TestDecoder throws.
             store.put(StoreKey("server/b"), "chat");
             CPPUNIT_ASSERT_THROW(daemon.sync.round(yield), std::invalid_argument);
             CPPUNIT_ASSERT(!daemon.fleet.storeReachable);
@@ -134,8 +133,8 @@
         });
     }
 
-    // By a watch and by a list; no grace keeps it, since it has not vanished. It is back as soon as
-    // its entry is.
+    // By a watch and by a list. The server is not retained, since its entry is not missing, and is
+    // used again once its entry is readable.
     void damagedEntryNamesNoServerAndTheOthersHold()
     {
         for (const bool byList : { false, true }) {
@@ -144,7 +143,7 @@
                 store.put(StoreKey("server/a"), "chat");
                 store.put(StoreKey("server/b"), "chat");
                 DaemonParts daemon(io, stage.clock, store, "d1");
-                daemon.sync.round(yield); // The start counts as a return of the store.
+                daemon.sync.round(yield); // The start counts as the end of an outage.
                 store.put(StoreKey("server/a"), "damaged");
                 daemon.fleet.synced = !byList;
                 daemon.sync.round(yield);
@@ -170,7 +169,7 @@
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a@5")) == nullptr);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a@9")) != nullptr);
-            store.put(StoreKey("server/a"), "chat 5"); // Of the earlier life; it comes late.
+            store.put(StoreKey("server/a"), "chat 5"); // A late entry of the previous incarnation.
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a@9")) != nullptr);
             CPPUNIT_ASSERT_EQUAL(std::size_t(1), daemon.fleet.servers.servers().size());
@@ -188,7 +187,7 @@
             stage.clock.advance(std::chrono::seconds(5));
             daemon.sync.round(yield);
             store.setDown(false);
-            store.erase(StoreKey("server/a")); // Lapsed meanwhile: kept for a moment.
+            store.erase(StoreKey("server/a")); // Lapsed in the outage: retained briefly.
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a@5")) != nullptr);
             store.put(StoreKey("server/a"), "chat 9");
@@ -220,13 +219,11 @@
         });
     }
 
-    // What users saw: with 3,000 servers, requests handled by a configuration that had been
-    // replaced four seconds before, and proper ones refused with 404, for 20 s from a start on.
-    //
-    // Cause: the store cuts the answer to a watch short after some 500 changes, and 9,000 come
-    // while replicas form. Each daemon took the part for all there was: it counted its picture as
-    // proved, and gathered for a second before it asked for the next part. Evidence: revisions that
-    // grew by exactly 500 each 1.5 s on every daemon, with proofs renewed all the while.
+    // Guards against truncated watch answers that count as complete. The store truncates an answer
+    // after some 500 changes, and with 3,000 servers 9,000 changes come while replicas form.
+    // Daemons renewed their freshness proof with each part and batched for a second before the next
+    // one: for 20 s after the start they used a configuration that had been replaced 4 s before,
+    // and answered valid requests with 404.
     void answersThatAreCutShortProveNothing()
     {
         Stage stage;
@@ -299,19 +296,11 @@
         });
     }
 
-    // What users saw: two requests reached a server 12.0 and 12.5 s after it had left, from one of
-    // three daemons that the store had turned away for 12 s and served again 3.0 s before.
-    //
-    // Order of events: the server leaves without a notice while the daemon is turned away; back in
-    // touch, the daemon hears that the entry is gone and keeps it, as it may have lapsed with the
-    // store; the time to keep it for ends while the daemon gathers news, and the next watch waits
-    // for more before anybody looks at that time again.
-    //
-    // Cause: a kept server was let go by the store's next news, not by time.
-    //
-    // Evidence: on the code of that time eight days of this shape broke, in all fifteen stories
-    // with the entry kept and no notice seen; with a timer of its own for kept servers as the only
-    // change none of the same eight did.
+    // Guards against requests to a departed server: two reached one 12.0 and 12.5 s after its
+    // departure, from a daemon that the store had rejected for 12 s and served again 3.0 s before.
+    // The server departed without a notice in the meantime, and the daemon retained it, since its
+    // entry might have lapsed in the outage. The grace period ended during a batching delay, but
+    // was checked only with the next changes from the store; now a timer of its own checks it.
     void keptServersAreGoneOnceTheDaemonIsInTouch()
     {
         Stage stage;
@@ -334,7 +323,7 @@
         });
     }
 
-    // Live servers whose entries lapsed are back within two seconds of the store's return.
+    // Live servers whose entries lapsed register again within two seconds after the outage.
     void keptServersGetTheTimeToComeBack()
     {
         const StoreSyncOptions options;
@@ -346,7 +335,7 @@
         CPPUNIT_ASSERT(answers + std::chrono::seconds(2) < options.connectivityGrace);
     }
 
-    // In a short silence no entry lapses: one that is gone was taken back by its server.
+    // No entry lapses in a short outage: a missing one was removed by its server.
     void nobodyIsKeptAfterAShortSilence()
     {
         Stage stage;
@@ -364,8 +353,8 @@
         });
     }
 
-    // A connection that goes silent at the worst moment, as the daemon begins to gather, is noticed
-    // in time for every change that came meanwhile.
+    // A connection that stalls at the worst moment, at the beginning of a batching delay, must be
+    // detected early enough to apply the changes made meanwhile within the bounds.
     void silentConnectionIsNoticedInTime()
     {
         std::vector<PictureBounds> all;
@@ -379,20 +368,13 @@
             playSilentConnection(bounds);
     }
 
-    // What users would see: requests reach a server more than two seconds after it has left, from a
-    // daemon whose ways to the store have been sound for long enough.
-    //
-    // Order of events: the daemon's connection to the store goes silent while it gathers news; a
-    // server leaves without a notice; the daemon asks on that connection a second later, gives up
-    // after another 1.6 s, and hears from the next call that the entry is gone. It takes the entry
-    // for one that lapsed while the store was away, since 2.8 s without an answer are more than an
-    // entry stands.
-    //
-    // Cause: the time that such an entry is kept for was counted from the beginning of the call
-    // that failed. A kept connection may have broken at any moment since the last answer on it.
-    //
-    // Evidence: this test alone; found by looking for the cause of the fault above in other orders
-    // of events. No run of real processes has shown it.
+    // Guards against requests to a server more than two seconds after its departure, from a daemon
+    // that is connected to the store again. The connection stalls at the beginning of a batching
+    // delay and a server departs without a notice. A second later the daemon calls the store on
+    // that connection, gives up after 1.6 s, and learns from the next call that the entry is
+    // missing. After 2.8 s without an answer the entry may have lapsed, so the server is retained.
+    // The grace period was counted from the beginning of the failed call, but the connection may
+    // have stalled at any time since its last answer.
     void nobodyIsKeptLongerAfterASilentConnection()
     {
         Stage stage;
@@ -413,8 +395,8 @@
         });
     }
 
-    // The store is back after seconds, and turns the first calls away as all daemons come at once:
-    // an answer too, so the daemon's ways are sound from the first of them on.
+    // After an outage the store rejects the first calls, since all daemons call at once. A
+    // rejection is an answer too, so the daemon counts as connected from the first one on.
     void nobodyIsKeptLongerByAStoreThatTurnsCallsAway()
     {
         Stage stage;
@@ -438,9 +420,8 @@
         });
     }
 
-    // The store is away, comes back for a moment, and is away again before the servers whose
-    // entries lapsed can be back: nothing can be heard of them, so they are kept as if it had not
-    // been back.
+    // The store is back only briefly, then unreachable again before servers whose entries lapsed
+    // can register. Nothing can be learned of them, so they are retained as in one outage.
     void keptServersStayWhileTheStoreIsAwayAgain()
     {
         Stage stage;
@@ -470,7 +451,7 @@
         });
     }
 
-    // The connection can't have broken before the last answer on it.
+    // The connection can't have stalled before the last answer on it.
     void outageOfOneCallIsDatedByTheLastAnswer()
     {
         Stage stage;
@@ -513,7 +494,8 @@
         });
     }
 
-    // A store that is back turns a later call away, as all daemons come at once: an answer too.
+    // After the outage the store rejects a later call, since all daemons call at once. A rejection
+    // is an answer too.
     void keptServersAreNotKeptLongerByACallThatIsTurnedAway()
     {
         Stage stage;
@@ -533,7 +515,7 @@
         });
     }
 
-    // The store is away for six calls of the daemon; returns when the last of them was begun.
+    // The store is unreachable for six calls of the daemon. Returns when the last of them began.
     static MonotonicTime playOutage(Stage &stage, MemoryKeyValueStore &store, DaemonParts &daemon,
                                     Yield yield)
     {
@@ -549,7 +531,7 @@
         return failedStart;
     }
 
-    // A newer catalog that can't be read may take keys away: the one in force is not the newest.
+    // A newer catalog that can't be decoded may revoke keys: the one in use is out of date.
     void unreadableCatalogProvesNothing()
     {
         Stage stage;
@@ -567,7 +549,7 @@
             store.forgetHistory();
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(!daemon.fleet.synced);
-            daemon.sync.round(yield); // A list tells no more than a watch.
+            daemon.sync.round(yield); // A list proves no more than a watch.
             CPPUNIT_ASSERT(daemon.fleet.synced);
             CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(stage.clock.now()));
             store.put(catalogKey, "3");
@@ -576,7 +558,7 @@
         });
     }
 
-    // A watch's answer that was long on its way tells what was before this daemon's own write.
+    // The answer to a watch may be delivered after this daemon's own, newer write.
     void olderNewsDoesNotReplaceOwnWrites()
     {
         ManualClock clock;
@@ -628,8 +610,8 @@
         });
     }
 
-    // However long changes are gathered, the proof of the catalog is renewed in time: while nothing
-    // changes, it dates from the beginning of the watch before the one that waits.
+    // The catalog's freshness proof must be renewed in time: while nothing changes, it dates from
+    // the beginning of the previous watch.
     void gatheringFitsTheBounds()
     {
         const Duration proofLasts = std::chrono::milliseconds(4500);
@@ -640,7 +622,7 @@
             CPPUNIT_ASSERT(options.gather < bound);
             CPPUNIT_ASSERT(options.gather + 2 * options.watchWait < proofLasts);
         }
-        // Without a proof to renew, a watch still ends in time to notice a silent connection.
+        // Without a proof to renew, a watch must still end in time to detect a stalled connection.
         const StoreSyncOptions options = storeSyncOptions({});
         CPPUNIT_ASSERT(options.gather + options.watchWait + watchLateness
                        < options.connectivityGrace);
