--- a/ramphinge/fleet_control/quarantine_keeper.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper.cpp
@@ -29,13 +29,13 @@
                                    KeyValueStore &store, FleetState &fleet, Quarantine &quarantine,
                                    const KeyHolder &role, const Clock &clock, DecisionLog &log)
     : m_io(io), m_options(std::move(options)), m_store(store), m_fleet(fleet),
-      m_quarantine(quarantine), m_role(role), m_clock(clock), m_log(log)
+      m_quarantine(quarantine), m_plannerRole(role), m_clock(clock), m_log(log)
 { }
 
 void QuarantineKeeper::run(Yield yield)
 {
     while (!m_stopping) {
-        sleepFor(m_io, m_options.interval, yield);
+        sleepFor(m_io, m_options.pollInterval, yield);
         round(yield);
     }
 }
@@ -47,8 +47,8 @@
         m_nextExpiryAt = m_clock.now() + m_options.expiryInterval;
     }
     publish(yield);
-    keepHeld(yield);
-    noteChanges();
+    persistQuarantined(yield);
+    logQuarantineChanges();
 }
 
 void QuarantineKeeper::takeOver()
@@ -58,29 +58,29 @@
     const StoreKey own = FleetKeys::crashes(m_options.daemon);
     for (auto entry = m_fleet.ownKeys.lower_bound(FleetKeys::crashPrefix());
          entry != m_fleet.ownKeys.end() && isCrashReportKey(entry->first); ++entry) {
-        if (entry->first == own && m_adopted)
+        if (entry->first == own && m_ownReportRestored)
             continue; // Written by this process itself.
-        takeOverKey(entry->first, entry->second);
+        applyStoredReport(entry->first, entry->second);
     }
-    const bool ownLapsed = m_adopted && m_fleet.ownKeys.count(own) == 0;
+    const bool ownLapsed = m_ownReportRestored && m_fleet.ownKeys.count(own) == 0;
     if (ownLapsed && !m_quarantine.own().empty())
-        m_published = 0; // It lapsed with its lease; what is still valid is published again.
-    m_adopted = true;
-    eraseIf(m_taken, [this](const auto &taken) {
-        const bool isGone = m_fleet.ownKeys.count(taken.first) == 0;
+        m_publishedVersion = 0; // It lapsed with its lease; what is still valid is published again.
+    m_ownReportRestored = true;
+    eraseIf(m_appliedRevisions, [this](const auto &applied) {
+        const bool isGone = m_fleet.ownKeys.count(applied.first) == 0;
         if (isGone)
-            m_quarantine.forget(sourceOf(taken.first));
+            m_quarantine.forget(sourceOf(applied.first));
         return isGone;
     });
-    noteChanges();
+    logQuarantineChanges();
 }
 
-void QuarantineKeeper::takeOverKey(const StoreKey &key, const StoredValue &stored)
+void QuarantineKeeper::applyStoredReport(const StoreKey &key, const StoredValue &stored)
 {
-    const auto taken = m_taken.find(key);
-    if (taken != m_taken.end() && taken->second == stored.revision)
+    const auto applied = m_appliedRevisions.find(key);
+    if (applied != m_appliedRevisions.end() && applied->second == stored.revision)
         return;
-    m_taken[key] = stored.revision;
+    m_appliedRevisions[key] = stored.revision;
     Result<CrashReport> report = parseCrashReport(stored.value, mostReported);
     if (!report.ok()) {
         m_log.write("crash_report_unreadable", LogWeight::Failure,
@@ -97,24 +97,26 @@
 {
     const std::uint64_t version = m_quarantine.ownVersion();
     const MonotonicTime now = m_clock.now();
-    if (!m_adopted || version == m_published || now < m_nextWriteAt || !m_fleet.storeReachable)
+    if (!m_ownReportRestored || version == m_publishedVersion || now < m_nextReportWriteAt
+        || !m_fleet.storeReachable)
         return;
-    const bool hasAdded = m_quarantine.ownAddedVersion() > m_published || m_published == 0;
-    if (!hasAdded && now - m_writtenAt < m_options.tidying)
+    const bool hasAdditions =
+        m_quarantine.ownAddedVersion() > m_publishedVersion || m_publishedVersion == 0;
+    if (!hasAdditions && now - m_reportWrittenAt < m_options.removalReportSpacing)
         return;
     const StoreKey key = FleetKeys::crashes(m_options.daemon);
     if (m_quarantine.own().empty() && m_fleet.ownKeys.count(key) == 0) {
-        m_published = version;
+        m_publishedVersion = version;
         return;
     }
-    m_nextWriteAt = now + m_options.spacing;
-    if (!renewLease(yield))
+    m_nextReportWriteAt = now + m_options.minReportSpacing;
+    if (!ensureLease(yield))
         return;
     const std::string text = serializeCrashReport(m_quarantine.own());
     const Status written = write(key, text, m_lease, yield);
     if (written.ok()) {
-        m_published = version;
-        m_writtenAt = now;
+        m_publishedVersion = version;
+        m_reportWrittenAt = now;
     } else if (written.error().kind() == ErrorKind::Fenced) {
         m_lease = noLease;
     }
@@ -122,13 +124,14 @@
 
 // Grants a new lease instead of renewing: reports are written rarely, and each write restarts the
 // lifetime of the report.
-bool QuarantineKeeper::renewLease(Yield yield)
+bool QuarantineKeeper::ensureLease(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
-    const bool isFresh = m_lease != noLease && now - m_leaseGrantedAt < m_options.reportLasts / 2;
+    const bool isFresh =
+        m_lease != noLease && now - m_leaseGrantedAt < m_options.reportLeaseDuration / 2;
     if (isFresh)
         return true;
-    const Result<GrantedLease> granted = m_store.grantLease(m_options.reportLasts, yield);
+    const Result<GrantedLease> granted = m_store.grantLease(m_options.reportLeaseDuration, yield);
     if (!granted.ok()) {
         m_log.write("crash_report_not_written", LogWeight::Failure,
                     { { "why", granted.error().message() } });
@@ -159,12 +162,13 @@
 
 // Without this document a request would leave the quarantine ten minutes after the daemons that
 // observed its crashes have stopped.
-void QuarantineKeeper::keepHeld(Yield yield)
+void QuarantineKeeper::persistQuarantined(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
-    if (!m_adopted || now < m_nextLookAt || !m_role.holds(now) || !m_fleet.storeReachable)
+    if (!m_ownReportRestored || now < m_nextHeldCheckAt || !m_plannerRole.holds(now)
+        || !m_fleet.storeReachable)
         return;
-    m_nextLookAt = now + m_options.plannersInterval;
+    m_nextHeldCheckAt = now + m_options.plannerCheckInterval;
     const StoreKey key = FleetKeys::heldRequests();
     const auto present = m_fleet.ownKeys.find(key);
     const std::string text =
@@ -178,26 +182,26 @@
         takeOver();
 }
 
-void QuarantineKeeper::noteChanges()
+void QuarantineKeeper::logQuarantineChanges()
 {
-    if (m_notedVersion == m_quarantine.version())
+    if (m_loggedVersion == m_quarantine.version())
         return;
-    m_notedVersion = m_quarantine.version();
+    m_loggedVersion = m_quarantine.version();
     const CrashReport held = m_quarantine.held();
     for (const auto &[fingerprint, record] : held) {
-        if (m_heldSince.emplace(fingerprint, m_clock.now()).second)
+        if (m_quarantinedSince.emplace(fingerprint, m_clock.now()).second)
             m_log.write("request_quarantined", LogWeight::Belief,
                         { { "fingerprint", fingerprint.text() },
                           { "account", record.account.text() },
                           { "route", record.route },
                           { "servers_ended", record.ends() } });
     }
-    eraseIf(m_heldSince, [&](const auto &entry) {
-        const bool isLetGo = held.count(entry.first) == 0;
-        if (isLetGo)
+    eraseIf(m_quarantinedSince, [&](const auto &entry) {
+        const bool isReleased = held.count(entry.first) == 0;
+        if (isReleased)
             m_log.write("request_let_go", LogWeight::Belief,
                         { { "fingerprint", entry.first.text() } });
-        return isLetGo;
+        return isReleased;
     });
 }
 
@@ -213,27 +217,28 @@
 // an entry in it a request might be tried repeatedly.
 bool QuarantineKeeper::grantTrial(const RequestFingerprint &fingerprint, Yield yield)
 {
-    const auto since = m_heldSince.find(fingerprint);
-    const bool mayBeDue =
-        since != m_heldSince.end() && m_clock.now() - since->second >= m_options.trialAfter;
-    if (!mayBeDue || m_granting || !m_adopted || !m_fleet.storeReachable)
+    const auto since = m_quarantinedSince.find(fingerprint);
+    const bool isTrialDue =
+        since != m_quarantinedSince.end() && m_clock.now() - since->second >= m_options.trialDelay;
+    if (!isTrialDue || m_trialPending || !m_ownReportRestored || !m_fleet.storeReachable)
         return false;
     Result<CrashReport> tried = triedRequests();
     if (!tried.ok() || tried.value().count(fingerprint) > 0)
         return false;
     const WallTime now = m_clock.wallNow();
-    eraseIf(tried.value(),
-            [&](const auto &entry) { return now - entry.second.lastSeen >= m_options.triedLasts; });
+    eraseIf(tried.value(), [&](const auto &entry) {
+        return now - entry.second.lastSeen >= m_options.triedRetention;
+    });
     CrashRecord record;
     record.account = m_quarantine.held()[fingerprint].account;
     record.lastSeen = now;
     tried.value()[fingerprint] = record;
     if (newestOf(tried.value(), mostReported, mostReportedOfAccount).size() < tried.value().size())
         return false;
-    m_granting = true;
+    m_trialPending = true;
     const Status written =
         write(FleetKeys::triedRequests(), serializeCrashReport(tried.value()), noLease, yield);
-    m_granting = false;
+    m_trialPending = false;
     if (written.ok())
         m_log.write("request_on_trial", LogWeight::Belief,
                     { { "fingerprint", fingerprint.text() } });
--- a/ramphinge/fleet_control/quarantine_keeper.h
+++ b/ramphinge/fleet_control/quarantine_keeper.h
@@ -32,25 +32,25 @@
     DaemonId daemon;
     // How often run() checks for changes to publish. Short, since the request may crash a server at
     // each daemon that has not received them yet.
-    Duration interval = std::chrono::milliseconds(50);
+    Duration pollInterval = std::chrono::milliseconds(50);
     // Minimum time between two reports. Writes are billed, so crashes in quick succession share
     // one.
-    Duration spacing = std::chrono::milliseconds(250);
+    Duration minReportSpacing = std::chrono::milliseconds(250);
     // Minimum time between two reports if the new one only removes entries.
-    Duration tidying = std::chrono::seconds(15);
+    Duration removalReportSpacing = std::chrono::seconds(15);
     // Lease of a daemon's report: the longest that the store grants. After it the suspicions of a
     // stopped daemon are no longer needed.
-    Duration reportLasts = std::chrono::minutes(10);
+    Duration reportLeaseDuration = std::chrono::minutes(10);
     // How often expired records are removed; they expire after minutes.
     Duration expiryInterval = std::chrono::seconds(1);
     // From the quarantining of a request at this daemon until its trial: by then crashes in quick
     // succession are known, and the crashed servers have restarted.
-    Duration trialAfter = std::chrono::seconds(5);
+    Duration trialDelay = std::chrono::seconds(5);
     // How long a trial is remembered. A request that keeps coming for longer crashes one server a
     // day.
-    Duration triedLasts = std::chrono::hours(24);
+    Duration triedRetention = std::chrono::hours(24);
     // How often the planner checks whether the document of quarantined requests is up to date.
-    Duration plannersInterval = std::chrono::seconds(1);
+    Duration plannerCheckInterval = std::chrono::seconds(1);
 };
 
 // Lives on the event loop.
@@ -73,36 +73,35 @@
     void takeOver();
 
 private:
-    void takeOverKey(const StoreKey &key, const StoredValue &stored);
+    void applyStoredReport(const StoreKey &key, const StoredValue &stored);
     void publish(Yield yield);
-    bool renewLease(Yield yield);
-    void keepHeld(Yield yield);
+    bool ensureLease(Yield yield);
+    void persistQuarantined(Yield yield);
     Status write(const StoreKey &key, const std::string &text, LeaseId lease, Yield yield);
     Result<CrashReport> triedRequests() const;
-    void noteChanges();
+    void logQuarantineChanges();
 
     IoContext &m_io;
     QuarantineKeeperOptions m_options;
     KeyValueStore &m_store;
     FleetState &m_fleet;
     Quarantine &m_quarantine;
-    const KeyHolder &m_role;
+    const KeyHolder &m_plannerRole;
     const Clock &m_clock;
     DecisionLog &m_log;
-    std::map<StoreKey, Revision>
-        m_taken; // Last processed revision of each report, even unreadable.
-    bool m_adopted = false; // The report of this daemon's previous process was applied.
-    std::uint64_t m_published = 0; // The version of the own report in the store; 0 for none.
-    MonotonicTime m_nextWriteAt;
-    MonotonicTime m_writtenAt; // The last write of the own report.
-    MonotonicTime m_nextLookAt; // As planner, of the document of quarantined requests.
+    std::map<StoreKey, Revision> m_appliedRevisions; // Last processed one of each report.
+    bool m_ownReportRestored = false; // The report of this daemon's previous process was applied.
+    std::uint64_t m_publishedVersion = 0; // The version of the own report in the store; 0 for none.
+    MonotonicTime m_nextReportWriteAt;
+    MonotonicTime m_reportWrittenAt; // The last write of the own report.
+    MonotonicTime m_nextHeldCheckAt; // As planner, of the document of quarantined requests.
     MonotonicTime m_nextExpiryAt;
     LeaseId m_lease = noLease;
     MonotonicTime m_leaseGrantedAt;
-    std::uint64_t m_notedVersion = 0; // The quarantine's version that m_heldSince reflects.
+    std::uint64_t m_loggedVersion = 0; // The quarantine's version that m_quarantinedSince reflects.
     // When each quarantined request became quarantined at this daemon.
-    std::map<RequestFingerprint, MonotonicTime> m_heldSince;
-    bool m_granting = false; // grantTrial() waits for the store.
+    std::map<RequestFingerprint, MonotonicTime> m_quarantinedSince;
+    bool m_trialPending = false; // grantTrial() waits for the store.
     bool m_stopping = false;
 };
 
