--- a/ramphinge/fleet_control/quarantine_operations.cpp
+++ b/ramphinge/fleet_control/quarantine_operations.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Another operator may write the same list concurrently.
-constexpr int mostTries = 5;
+constexpr int maxAttempts = 5;
 
 // All reports in the store, and the list of requests that were released before.
 struct StoredReports
@@ -50,8 +50,8 @@
 
 Status releaseRequest(KeyValueStore &store, const RequestFingerprint &fingerprint, Yield yield)
 {
-    Error last(ErrorKind::Conflict, "somebody else releases requests at the same time");
-    for (int tries = 0; tries < mostTries; ++tries) {
+    Error lastError(ErrorKind::Conflict, "another operator is releasing requests concurrently");
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         Result<StoredReports> reports = readReports(store, yield);
         if (!reports.ok())
             return reports.error();
@@ -59,7 +59,8 @@
         const auto found = held.find(fingerprint);
         if (found == held.end())
             return Error(ErrorKind::NotFound,
-                         "no request with this fingerprint is held back; see the list");
+                         "no request with this fingerprint is quarantined; see the list of "
+                         "quarantined requests");
         CrashRecord record = found->second;
         record.excused.insert(record.ended.begin(), record.ended.end());
         record.ended.clear();
@@ -71,11 +72,11 @@
             { { FleetKeys::releasedRequests(), text, reports.value().releasedRevision } }, yield);
         if (written.ok())
             return Done {};
-        last = written.error();
-        if (last.kind() != ErrorKind::Conflict)
-            return last;
+        lastError = written.error();
+        if (lastError.kind() != ErrorKind::Conflict)
+            return lastError;
     }
-    return last;
+    return lastError;
 }
 
 } // namespace ramphinge
