--- a/ramphinge/fleet_control/formation_runner.cpp
+++ b/ramphinge/fleet_control/formation_runner.cpp
@@ -30,7 +30,7 @@
                                  const KeyHolder &role, OrderChannel &channel, DecisionLog &log,
                                  Metrics &metrics, std::function<void()> onChange)
     : m_io(io), m_clock(clock), m_options(options), m_store(store), m_fleet(fleet),
-      m_dispatch(dispatch), m_role(role), m_channel(channel), m_log(log), m_metrics(metrics),
+      m_dispatch(dispatch), m_plannerRole(role), m_channel(channel), m_log(log), m_metrics(metrics),
       m_onChange(std::move(onChange)), m_book(options.orders), m_presence(options.presence),
       m_deaths(options.deaths)
 { }
@@ -39,26 +39,26 @@
 {
     while (!m_stopping) {
         round(yield);
-        sleepFor(m_io, m_options.interval, yield);
+        sleepFor(m_io, m_options.pollInterval, yield);
     }
 }
 
 // Starts a term as planner. State from an earlier term is out of date.
-void FormationRunner::takeOver()
+void FormationRunner::beginTerm()
 {
-    m_term = m_role.lease();
+    m_roleLease = m_plannerRole.lease();
     m_book = OrderBook(m_options.orders);
-    m_continues = !m_fleet.plan.replicas.empty();
+    m_hasPredecessor = !m_fleet.plan.replicas.empty();
     m_ledgerRevision = absentRevision;
-    m_ledger = {};
-    m_unsureLedger.clear();
+    m_writtenLedger = {};
+    m_uncertainLedger.clear();
     // The predecessor's ledger lacks the replicas that it was forming.
     adopt({});
 }
 
-bool FormationRunner::stillPlans(MonotonicTime now) const
+bool FormationRunner::isStillPlanner(MonotonicTime now) const
 {
-    return m_role.holds(now) && m_role.lease() == m_term;
+    return m_plannerRole.holds(now) && m_plannerRole.lease() == m_roleLease;
 }
 
 void FormationRunner::adopt(const OrderLedger &ledger)
@@ -71,13 +71,13 @@
 
 // Adopts the orders that another planner recorded in the store, even one that wrote them after this
 // daemon's term began.
-void FormationRunner::adoptOrders()
+void FormationRunner::adoptStoredOrders()
 {
     const auto found = m_fleet.ownKeys.find(FleetKeys::orders());
     if (found == m_fleet.ownKeys.end() || found->second.revision == m_ledgerRevision)
         return;
     m_ledgerRevision = found->second.revision;
-    if (found->second.value == m_unsureLedger)
+    if (found->second.value == m_uncertainLedger)
         return; // This planner's own write, whose orders were not sent.
     const Result<OrderLedger> ledger = parseLedger(found->second.value);
     if (!ledger.ok()) {
@@ -95,19 +95,19 @@
 
 // Records the unanswered joins in the store before the replicas that are ready in `next` are
 // opened. Returns false if that failed.
-bool FormationRunner::writeDownJoins(const ReplicaPlan &next, Yield yield)
+bool FormationRunner::persistUnansweredJoins(const ReplicaPlan &next, Yield yield)
 {
     const OrderLedger ledger = m_book.ledger(next, m_clock.now());
     const auto isWritten = [this](const auto &join) {
-        const auto found = m_ledger.unansweredJoins.find(join.first);
-        return found != m_ledger.unansweredJoins.end() && found->second == join.second;
+        const auto found = m_writtenLedger.unansweredJoins.find(join.first);
+        return found != m_writtenLedger.unansweredJoins.end() && found->second == join.second;
     };
     const auto &joins = ledger.unansweredJoins;
     return std::all_of(joins.begin(), joins.end(), isWritten) || writeLedger(ledger, yield);
 }
 
 // Records the loads in `due` in the store before they are ordered. Returns false if that failed.
-bool FormationRunner::writeDownLoads(const std::vector<ServerOrder> &due, Yield yield)
+bool FormationRunner::persistLoads(const std::vector<ServerOrder> &due, Yield yield)
 {
     OrderLedger ledger = m_book.ledger(m_fleet.plan, m_clock.now());
     for (const ServerOrder &order : due)
@@ -124,13 +124,13 @@
         // A conflict proves that this ledger was not written; it may have conflicted with an
         // earlier uncertain one.
         if (written.error().kind() != ErrorKind::Conflict)
-            m_unsureLedger = text;
+            m_uncertainLedger = text;
         m_log.write(
             "orders_not_written", LogWeight::Belief,
             { { "expected", m_ledgerRevision.count() }, { "why", written.error().message() } });
         return false;
     }
-    m_ledger = ledger;
+    m_writtenLedger = ledger;
     m_ledgerRevision = written.value();
     m_fleet.noteWritten(FleetKeys::orders(), { text, written.value() });
     return true;
@@ -140,15 +140,15 @@
 void FormationRunner::readSuspicions(MonotonicTime now)
 {
     for (const ReplicaId &replica : m_dispatch.suspicions.take())
-        check(replica, now);
+        checkReplica(replica, now);
     std::map<StoreKey, Revision> read; // Without removed keys.
     const std::string prefix = FleetKeys::suspicionPrefix().text();
     for (const auto &[key, stored] : m_fleet.ownKeys) {
         if (key.text().compare(0, prefix.size(), prefix) != 0)
             continue;
         read[key] = stored.revision;
-        const auto before = m_suspicionsRead.find(key);
-        if (before != m_suspicionsRead.end() && before->second == stored.revision)
+        const auto before = m_suspicionRevisions.find(key);
+        if (before != m_suspicionRevisions.end() && before->second == stored.revision)
             continue;
         const Result<std::vector<ReplicaId>> replicas = parseSuspicions(stored.value);
         if (!replicas.ok()) {
@@ -157,23 +157,23 @@
             continue;
         }
         for (const ReplicaId &replica : replicas.value())
-            check(replica, now);
+            checkReplica(replica, now);
     }
-    m_suspicionsRead = std::move(read);
+    m_suspicionRevisions = std::move(read);
 }
 
-void FormationRunner::check(const ReplicaId &replica, MonotonicTime now)
+void FormationRunner::checkReplica(const ReplicaId &replica, MonotonicTime now)
 {
     const PlannedReplica *planned = m_fleet.plan.find(replica);
     if (planned == nullptr || planned->phase != ReplicaPhase::Ready)
         return;
     for (const HostId &host : m_deaths.beginCheck(*planned, m_fleet.servers.servers(), now)) {
         const UpstreamServer *server = m_fleet.servers.find(host);
-        spawnCoroutine(m_io, [this, target = *server](Yield yield) { ask(target, yield); });
+        spawnCoroutine(m_io, [this, target = *server](Yield yield) { probeServer(target, yield); });
     }
 }
 
-void FormationRunner::ask(const UpstreamServer &server, Yield yield)
+void FormationRunner::probeServer(const UpstreamServer &server, Yield yield)
 {
     for (int i = 0; i < m_options.deaths.silences; ++i) {
         const bool answers = m_channel.answers(server, m_options.probeTimeout, yield);
@@ -187,18 +187,18 @@
 }
 
 // Updates the servers to plan with: all but those that are presumed dead.
-void FormationRunner::refreshLiving(MonotonicTime now)
+void FormationRunner::updatePresumedDead(MonotonicTime now)
 {
     const ServerMap &servers = m_fleet.servers.servers();
     std::set<HostId> dead = m_deaths.dead(servers, now);
     for (const HostId &host : dead) {
-        if (m_dead.count(host) == 0)
+        if (m_presumedDead.count(host) == 0)
             m_log.write("server_silent", LogWeight::Belief, { { "host", host.text() } });
     }
-    m_dead = std::move(dead);
-    m_living = m_dead.empty() ? ServerMap() : servers;
-    for (const HostId &host : m_dead)
-        m_living.erase(host);
+    m_presumedDead = std::move(dead);
+    m_presumedAlive = m_presumedDead.empty() ? ServerMap() : servers;
+    for (const HostId &host : m_presumedDead)
+        m_presumedAlive.erase(host);
 }
 
 // An exception may have been thrown after a write of the plan.
@@ -207,7 +207,7 @@
     try {
         plan(yield);
     } catch (const std::exception &) {
-        m_planUnsure = true;
+        m_planWriteUncertain = true;
         throw;
     }
 }
@@ -217,27 +217,27 @@
     // Also while another daemon is the planner: a successor must know how long servers have been
     // present.
     m_presence.observe(m_fleet.servers, m_clock.now());
-    if (!m_role.holds(m_clock.now()) || !m_dispatch.catalog) {
-        m_term = noLease;
+    if (!m_plannerRole.holds(m_clock.now()) || !m_dispatch.catalog) {
+        m_roleLease = noLease;
         return;
     }
-    if (m_term != m_role.lease())
-        takeOver();
+    if (m_roleLease != m_plannerRole.lease())
+        beginTerm();
     const MonotonicTime now = m_clock.now();
     readSuspicions(now);
-    refreshLiving(now);
+    updatePresumedDead(now);
     if (m_fleet.plan.replicas.empty() && m_presence.isGathering(now))
         return;
-    if (m_planUnsure) {
+    if (m_planWriteUncertain) {
         rereadPlan(yield);
         return;
     }
-    m_book.setTrafficSeen(m_dispatch.sawRequest || m_continues);
+    m_book.setTrafficSeen(m_dispatch.sawRequest || m_hasPredecessor);
     m_book.observe(m_fleet.servers.servers(), m_fleet.plan, now);
     const CatalogPointer catalog = m_dispatch.catalog; // Kept alive while this waits for the store.
-    adoptOrders();
+    adoptStoredOrders();
     for (const ServiceEntry &service : catalog->services()) {
-        if (service.engine && !service.engine->models.empty() && !m_planUnsure)
+        if (service.engine && !service.engine->models.empty() && !m_planWriteUncertain)
             planService(service, yield);
     }
 }
@@ -259,7 +259,7 @@
 {
     FormationInput input { service.service,
                            *service.engine,
-                           m_dead.empty() ? m_fleet.servers.servers() : m_living,
+                           m_presumedDead.empty() ? m_fleet.servers.servers() : m_presumedAlive,
                            {},
                            unusable(now),
                            m_book.failed(m_fleet.plan, *service.engine, now),
@@ -273,18 +273,18 @@
         const double share = m_dispatch.demand.shareOf(*service.engine, model.model, now);
         input.demand.push_back(
             { model.model,
-              serversNeeded(model, share * busy) + withheld(*service.engine, model, now) });
+              serversNeeded(model, share * busy) + withheldCapacity(*service.engine, model, now) });
     }
     return input;
 }
 
-double FormationRunner::withheld(const EngineProfile &engine, const ModelProfile &model,
-                                 MonotonicTime now) const
+double FormationRunner::withheldCapacity(const EngineProfile &engine, const ModelProfile &model,
+                                         MonotonicTime now) const
 {
-    const auto whole = m_dispatch.demand.rateOfReplica(engine, model.model, now);
-    if (!whole)
+    const auto replicaRate = m_dispatch.demand.rateOfReplica(engine, model.model, now);
+    if (!replicaRate)
         return 0;
-    return serversWithheld(m_fleet.plan, model, *whole, [this, now](const HostId &head) {
+    return serversWithheld(m_fleet.plan, model, *replicaRate, [this, now](const HostId &head) {
         return m_dispatch.gate.limits().rateOf(head, now);
     });
 }
@@ -292,10 +292,11 @@
 void FormationRunner::planService(const ServiceEntry &service, Yield yield)
 {
     const ReplicaPlan next = nextFormation(m_fleet.plan, inputFor(service, m_clock.now()));
-    if (!samePlan(m_fleet.plan, next) && !(writeDownJoins(next, yield) && writePlan(next, yield)))
+    if (!samePlan(m_fleet.plan, next)
+        && !(persistUnansweredJoins(next, yield) && writePlan(next, yield)))
         return;
     const MonotonicTime now = m_clock.now();
-    if (!stillPlans(now))
+    if (!isStillPlanner(now))
         return;
     const FormationInput input = inputFor(service, now);
     logSummary(service, input);
@@ -305,9 +306,9 @@
     for (auto order = due.begin(); order != firstLoad; ++order)
         send(*order, *service.engine);
     due.erase(due.begin(), firstLoad);
-    if (due.empty() || !(m_book.joinsMayLoad() || writeDownLoads(due, yield)))
+    if (due.empty() || !(m_book.joinsMayLoad() || persistLoads(due, yield)))
         return;
-    if (!stillPlans(m_clock.now()))
+    if (!isStillPlanner(m_clock.now()))
         return;
     for (const ServerOrder &order : due)
         send(order, *service.engine);
@@ -315,8 +316,8 @@
 
 bool FormationRunner::writePlan(const ReplicaPlan &next, Yield yield)
 {
-    if (const Status sound = checkPlan(next); !sound.ok()) {
-        m_log.write("plan_unsound", LogWeight::Belief, { { "why", sound.error().message() } });
+    if (const Status valid = checkPlan(next); !valid.ok()) {
+        m_log.write("plan_unsound", LogWeight::Belief, { { "why", valid.error().message() } });
         return false;
     }
     const std::string text = serialize(next);
@@ -324,7 +325,7 @@
     const Result<Revision> written =
         m_store.commit({ { FleetKeys::plan(), text, m_fleet.planRevision } }, yield);
     if (!written.ok()) {
-        m_planUnsure = true;
+        m_planWriteUncertain = true;
         m_log.write(
             "plan_not_written", LogWeight::Belief,
             { { "expected", m_fleet.planRevision.count() }, { "why", written.error().message() } });
@@ -347,11 +348,11 @@
     for (const StoredEntry &entry : read.value().entries) {
         if (entry.key != FleetKeys::plan())
             continue;
-        if (const Status taken = m_fleet.takePlan(entry.stored); !taken.ok())
+        if (const Status applied = m_fleet.takePlan(entry.stored); !applied.ok())
             m_log.write("plan_unreadable", LogWeight::Belief,
-                        { { "why", taken.error().message() } });
+                        { { "why", applied.error().message() } });
     }
-    m_planUnsure = false;
+    m_planWriteUncertain = false;
     m_onChange();
 }
 
@@ -359,9 +360,9 @@
 void FormationRunner::logSummary(const ServiceEntry &service, const FormationInput &input)
 {
     const MonotonicTime now = m_clock.now();
-    if (now - m_summaryAt < m_options.summary)
+    if (now - m_lastSummaryAt < m_options.summaryInterval)
         return;
-    m_summaryAt = now;
+    m_lastSummaryAt = now;
     std::map<std::string, int> servers; // By the phase and model of their replica, or by state.
     std::map<std::string, double> shares;
     nlohmann::json idle = nlohmann::json::array();
--- a/ramphinge/fleet_control/formation_runner.h
+++ b/ramphinge/fleet_control/formation_runner.h
@@ -18,9 +18,9 @@
 struct FormationRunnerOptions
 {
     // Time between two iterations. Changes from the store are delayed by at least this much anyway.
-    Duration interval = std::chrono::milliseconds(100);
+    Duration pollInterval = std::chrono::milliseconds(100);
     // Time between two summaries in the log.
-    Duration summary = std::chrono::seconds(1);
+    Duration summaryInterval = std::chrono::seconds(1);
     Duration orderTimeout = std::chrono::milliseconds(700);
     // For a liveness probe: a server answers it without queueing, within milliseconds.
     Duration probeTimeout = std::chrono::milliseconds(300);
@@ -48,23 +48,23 @@
 
 private:
     void plan(Yield yield);
-    void takeOver();
-    // Whether no other planner can have been active since takeOver().
-    bool stillPlans(MonotonicTime now) const;
+    void beginTerm();
+    // Whether no other planner can have been active since beginTerm().
+    bool isStillPlanner(MonotonicTime now) const;
     void readSuspicions(MonotonicTime now);
-    void check(const ReplicaId &replica, MonotonicTime now);
-    void ask(const UpstreamServer &server, Yield yield);
-    void refreshLiving(MonotonicTime now);
+    void checkReplica(const ReplicaId &replica, MonotonicTime now);
+    void probeServer(const UpstreamServer &server, Yield yield);
+    void updatePresumedDead(MonotonicTime now);
     void adopt(const OrderLedger &ledger);
-    void adoptOrders();
-    bool writeDownJoins(const ReplicaPlan &next, Yield yield);
-    bool writeDownLoads(const std::vector<ServerOrder> &due, Yield yield);
+    void adoptStoredOrders();
+    bool persistUnansweredJoins(const ReplicaPlan &next, Yield yield);
+    bool persistLoads(const std::vector<ServerOrder> &due, Yield yield);
     bool writeLedger(const OrderLedger &ledger, Yield yield);
     void planService(const ServiceEntry &service, Yield yield);
     // Capacity of the model, in servers, that is unavailable since heads of its replicas limit
     // their rate.
-    double withheld(const EngineProfile &engine, const ModelProfile &model,
-                    MonotonicTime now) const;
+    double withheldCapacity(const EngineProfile &engine, const ModelProfile &model,
+                            MonotonicTime now) const;
     std::set<HostId> unusable(MonotonicTime now) const;
     FormationInput inputFor(const ServiceEntry &service, MonotonicTime now);
     bool writePlan(const ReplicaPlan &next, Yield yield);
@@ -80,7 +80,7 @@
     KeyValueStore &m_store;
     FleetState &m_fleet;
     DispatchState &m_dispatch;
-    const KeyHolder &m_role;
+    const KeyHolder &m_plannerRole;
     OrderChannel &m_channel;
     DecisionLog &m_log;
     Metrics &m_metrics;
@@ -88,19 +88,19 @@
     OrderBook m_book;
     Presence m_presence;
     DeathWatch m_deaths;
-    std::set<HostId> m_dead; // Servers that are presumed dead although their entries exist.
-    ServerMap m_living; // The view without m_dead; empty if m_dead is.
-    std::map<StoreKey, Revision> m_suspicionsRead; // Last processed revision of each daemon's key.
-    MonotonicTime m_summaryAt; // The last summary in the log.
+    std::set<HostId> m_presumedDead; // Servers that are presumed dead although their entries exist.
+    ServerMap m_presumedAlive; // The view without m_presumedDead; empty if that is.
+    std::map<StoreKey, Revision> m_suspicionRevisions; // Last processed one of each daemon's key.
+    MonotonicTime m_lastSummaryAt; // The last summary in the log.
     Revision m_ledgerRevision; // Of the ledger that m_book reflects; absentRevision for none.
-    OrderLedger m_ledger; // As last written by this planner.
+    OrderLedger m_writtenLedger; // As last written by this planner.
     // Its write failed but may have taken effect; its orders were not sent.
-    std::string m_unsureLedger;
+    std::string m_uncertainLedger;
     // The lease under which this daemon is the planner; noLease while it isn't. If the role's lease
     // differs, another planner may have been active in between.
-    LeaseId m_term = noLease;
-    bool m_continues = false; // A predecessor left a plan: traffic may have begun.
-    bool m_planUnsure = false; // A failed write of the plan may have taken effect.
+    LeaseId m_roleLease = noLease;
+    bool m_hasPredecessor = false; // A predecessor left a plan: traffic may have begun.
+    bool m_planWriteUncertain = false; // A failed write of the plan may have taken effect.
     bool m_stopping = false;
 };
 
