--- a/ramphinge/fleet_control/key_holder.cpp
+++ b/ramphinge/fleet_control/key_holder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration poll = std::chrono::milliseconds(100);
+constexpr Duration pollInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -20,7 +20,7 @@
 {
     while (!m_stopping) {
         round(yield);
-        sleepFor(m_io, m_held ? m_options.renewal : poll, yield);
+        sleepFor(m_io, m_held ? m_options.renewal : pollInterval, yield);
     }
 }
 
@@ -30,10 +30,10 @@
         renew(yield);
     else if (m_fleet.synced && m_fleet.storeReachable
              && (m_options.replaceExisting || m_fleet.ownKeys.count(m_options.key) == 0))
-        tryToTake(yield);
+        tryToAcquire(yield);
 }
 
-void KeyHolder::tryToTake(Yield yield)
+void KeyHolder::tryToAcquire(Yield yield)
 {
     sleepFor(m_io, m_options.precedence + scaled(m_options.contention, m_random.fraction()), yield);
     const bool taken = m_fleet.ownKeys.count(m_options.key) > 0;
@@ -58,8 +58,8 @@
         return;
     }
     m_lease = granted.value().lease;
-    m_lifetime = granted.value().lifetime;
-    m_term = LeaseTerm(sentAt, m_lifetime, m_options.margin);
+    m_leaseLifetime = granted.value().lifetime;
+    m_term = LeaseTerm(sentAt, m_leaseLifetime, m_options.margin);
     m_held = true;
     m_fleet.noteWritten(m_options.key, { m_options.value, written.value() });
     m_log.write("key_taken", LogWeight::Belief,
@@ -73,16 +73,16 @@
     const MonotonicTime sentAt = m_clock.now();
     const Status renewed = m_store.renewLease(m_lease, yield);
     if (renewed.ok()) {
-        m_term = LeaseTerm(sentAt, m_lifetime, m_options.margin);
+        m_term = LeaseTerm(sentAt, m_leaseLifetime, m_options.margin);
         return;
     }
     if (renewed.error().kind() == ErrorKind::Fenced)
-        lose("the lease has ended");
+        markLost("the lease has expired");
     else if (!m_term.mayAct(m_clock.now()))
-        lose("it could not be renewed: " + renewed.error().message());
+        markLost("the lease could not be renewed: " + renewed.error().message());
 }
 
-void KeyHolder::lose(const std::string &why)
+void KeyHolder::markLost(const std::string &why)
 {
     m_held = false;
     // The key itself stays in the view until a watch reports its removal.
--- a/ramphinge/fleet_control/key_holder.h
+++ b/ramphinge/fleet_control/key_holder.h
@@ -55,9 +55,9 @@
     LeaseId lease() const { return m_lease; }
 
 private:
-    void tryToTake(Yield yield);
+    void tryToAcquire(Yield yield);
     void renew(Yield yield);
-    void lose(const std::string &why);
+    void markLost(const std::string &why);
 
     IoContext &m_io;
     const Clock &m_clock;
@@ -67,7 +67,7 @@
     DecisionLog &m_log;
     Random m_random;
     LeaseId m_lease = noLease;
-    Duration m_lifetime {}; // Of m_lease, as the store granted it.
+    Duration m_leaseLifetime {}; // Of m_lease, as the store granted it.
     LeaseTerm m_term;
     bool m_held = false; // The key was written with m_lease, and its loss was not detected.
     bool m_stopping = false;
