--- a/ramphinge/fleet_control/drain_schedule.h
+++ b/ramphinge/fleet_control/drain_schedule.h
@@ -16,15 +16,21 @@
 
     // Until when requests are accepted: the load balancer sends callers until it has seen two
     // failed health checks, a second apart. Later requests might not finish within the grace.
-    MonotonicTime takesUntil() const { return m_signalAt + std::min(rotation, m_grace / 3); }
+    MonotonicTime takesUntil() const
+    {
+        return m_signalAt + std::min(balancerReactionTime, m_grace / 3);
+    }
 
     // When the process exits, even with requests still in progress.
-    MonotonicTime endsAt() const { return m_signalAt + m_grace - std::min(reserve, m_grace / 4); }
+    MonotonicTime endsAt() const
+    {
+        return m_signalAt + m_grace - std::min(shutdownTime, m_grace / 4);
+    }
 
 private:
-    static constexpr Duration rotation = std::chrono::milliseconds(2600);
+    static constexpr Duration balancerReactionTime = std::chrono::milliseconds(2600);
     // Left for the shutdown itself before the process is killed.
-    static constexpr Duration reserve = std::chrono::milliseconds(700);
+    static constexpr Duration shutdownTime = std::chrono::milliseconds(700);
 
     MonotonicTime m_signalAt;
     Duration m_grace;
--- a/ramphinge/fleet_control/link_key.cpp
+++ b/ramphinge/fleet_control/link_key.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Until there is a secret, daemons watch the store itself rather than a relay.
-constexpr Duration interval = std::chrono::milliseconds(500);
+constexpr Duration pollInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -15,14 +15,14 @@
 {
     while (!m_stopping) {
         round(yield);
-        sleepFor(m_io, interval, yield);
+        sleepFor(m_io, pollInterval, yield);
     }
 }
 
 void LinkKeyWriter::round(Yield yield)
 {
     const bool isMissing = m_fleet.synced && m_fleet.ownKeys.count(FleetKeys::linkKey()) == 0;
-    if (!isMissing || !m_role.holds(m_clock.now()))
+    if (!isMissing || !m_plannerRole.holds(m_clock.now()))
         return;
     const std::string secret = m_random.token() + m_random.token();
     const Result<Revision> written =
--- a/ramphinge/fleet_control/link_key.h
+++ b/ramphinge/fleet_control/link_key.h
@@ -18,7 +18,7 @@
 public:
     LinkKeyWriter(IoContext &io, const Clock &clock, KeyValueStore &store, FleetState &fleet,
                   const KeyHolder &role, DecisionLog &log)
-        : m_io(io), m_clock(clock), m_store(store), m_fleet(fleet), m_role(role), m_log(log),
+        : m_io(io), m_clock(clock), m_store(store), m_fleet(fleet), m_plannerRole(role), m_log(log),
           m_random(entropySeed())
     { }
 
@@ -34,7 +34,7 @@
     const Clock &m_clock;
     KeyValueStore &m_store;
     FleetState &m_fleet;
-    const KeyHolder &m_role;
+    const KeyHolder &m_plannerRole;
     DecisionLog &m_log;
     Random m_random;
     bool m_stopping = false;
--- a/ramphinge/fleet_control/suspicion_reporter.cpp
+++ b/ramphinge/fleet_control/suspicion_reporter.cpp
@@ -35,44 +35,44 @@
                                      DispatchState &dispatch, const KeyHolder &registration,
                                      const KeyHolder &role, const Clock &clock, DecisionLog &log)
     : m_io(io), m_options(std::move(options)), m_store(store), m_fleet(fleet), m_dispatch(dispatch),
-      m_registration(registration), m_role(role), m_clock(clock), m_log(log)
+      m_registration(registration), m_plannerRole(role), m_clock(clock), m_log(log)
 { }
 
 void SuspicionReporter::run(Yield yield)
 {
     while (!m_stopping) {
-        sleepFor(m_io, m_options.interval, yield);
+        sleepFor(m_io, m_options.pollInterval, yield);
         round(yield);
     }
 }
 
 // A hash of both names selects the reporters, so they stay the same for the replica's lifetime
 // while the number of daemons does.
-bool SuspicionReporter::isReporterOf(const PlannedReplica &replica) const
+bool SuspicionReporter::shouldReport(const PlannedReplica &replica) const
 {
     const UpstreamServer *head = m_fleet.servers.find(replica.hosts.front());
-    const bool isNear = head != nullptr && head->zone == m_options.zone;
-    const int daemons = isNear ? m_fleet.daemonsInZone(m_options.zone) : m_fleet.daemonCount();
-    const int reporters = isNear ? m_options.reportersInZone : m_options.reportersElsewhere;
+    const bool isSameZone = head != nullptr && head->zone == m_options.zone;
+    const int daemons = isSameZone ? m_fleet.daemonsInZone(m_options.zone) : m_fleet.daemonCount();
+    const int reporters = isSameZone ? m_options.reportersInZone : m_options.reportersElsewhere;
     if (daemons <= reporters)
         return true;
-    const std::uint64_t drawn =
+    const std::uint64_t hash =
         stableHash(replica.replica.text(), stableHash(m_options.daemon.text()));
-    return drawn % static_cast<std::uint64_t>(daemons) < static_cast<std::uint64_t>(reporters);
+    return hash % static_cast<std::uint64_t>(daemons) < static_cast<std::uint64_t>(reporters);
 }
 
 void SuspicionReporter::round(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
-    if (m_role.holds(now))
+    if (m_plannerRole.holds(now))
         return;
     std::vector<ReplicaId> replicas = m_dispatch.suspicions.take();
-    const auto isLeftOut = [this](const ReplicaId &replica) {
+    const auto isExcluded = [this](const ReplicaId &replica) {
         const PlannedReplica *planned = m_fleet.plan.find(replica);
         return planned == nullptr || planned->phase != ReplicaPhase::Ready
-            || !isReporterOf(*planned);
+            || !shouldReport(*planned);
     };
-    replicas.erase(std::remove_if(replicas.begin(), replicas.end(), isLeftOut), replicas.end());
+    replicas.erase(std::remove_if(replicas.begin(), replicas.end(), isExcluded), replicas.end());
     if (replicas.empty() || !m_fleet.storeReachable || !m_registration.holds(now))
         return;
     const StoreKey key = FleetKeys::suspicions(m_options.daemon);
--- a/ramphinge/fleet_control/suspicion_reporter.h
+++ b/ramphinge/fleet_control/suspicion_reporter.h
@@ -20,7 +20,7 @@
     int reportersElsewhere = 2;
     // How often new suspicions are reported. A failed server is a member of one replica, so more
     // than one suspicion in that time is rare.
-    Duration interval = std::chrono::milliseconds(100);
+    Duration pollInterval = std::chrono::milliseconds(100);
 };
 
 // The stored document: the suspected replicas as a JSON array.
@@ -45,7 +45,7 @@
     void stop() { m_stopping = true; }
 
 private:
-    bool isReporterOf(const PlannedReplica &replica) const;
+    bool shouldReport(const PlannedReplica &replica) const;
 
     IoContext &m_io;
     SuspicionReporterOptions m_options;
@@ -53,7 +53,7 @@
     FleetState &m_fleet;
     DispatchState &m_dispatch;
     const KeyHolder &m_registration;
-    const KeyHolder &m_role;
+    const KeyHolder &m_plannerRole;
     const Clock &m_clock;
     DecisionLog &m_log;
     bool m_stopping = false;
