--- a/ramphinge/fleet_control/internal/daemon_fixture.h
+++ b/ramphinge/fleet_control/internal/daemon_fixture.h
@@ -20,7 +20,7 @@
 const ServiceId service("chat");
 const ModelId model("m");
 
-inline EngineProfile oneModel()
+inline EngineProfile singleModelProfile()
 {
     EngineProfile engine;
     engine.slots = 8;
@@ -49,7 +49,7 @@
             return Error(ErrorKind::InvalidInput, "damaged");
         CatalogContent content;
         content.version = CatalogVersion(std::stoll(value));
-        content.services = { { service, "", 0, oneModel() } };
+        content.services = { { service, "", 0, singleModelProfile() } };
         return content;
     }
 
@@ -127,7 +127,7 @@
 };
 
 // Grants shorter leases than requested, as a store may.
-class SparingStore : public MemoryKeyValueStore
+class ShortLeaseStore : public MemoryKeyValueStore
 {
 public:
     using MemoryKeyValueStore::MemoryKeyValueStore;
@@ -148,12 +148,12 @@
                              Yield yield) override
     {
         Result<WatchBatch> batch = MemoryKeyValueStore::watch(prefix, after, wait, yield);
-        if (meanwhile)
-            std::exchange(meanwhile, {})(yield);
+        if (duringWatch)
+            std::exchange(duringWatch, {})(yield);
         return batch;
     }
 
-    std::function<void(Yield)> meanwhile;
+    std::function<void(Yield)> duringWatch;
 };
 
 // Runs a callback between the next list, lease grant or write and the delivery of its answer.
@@ -192,7 +192,7 @@
 };
 
 // Runs a test body as a coroutine, with an in-memory store and a manual clock.
-class Stage
+class TestEnvironment
 {
 public:
     ManualClock clock;
--- a/ramphinge/fleet_control/key_holder_test.cpp
+++ b/ramphinge/fleet_control/key_holder_test.cpp
@@ -9,145 +9,145 @@
 {
     CPPUNIT_TEST_SUITE(KeyHolderTest);
     CPPUNIT_TEST(oneDaemonHoldsTheRoleAtATime);
-    CPPUNIT_TEST(betterCandidatesGoFirst);
+    CPPUNIT_TEST(delayedCandidateYieldsToOthers);
     CPPUNIT_TEST(holderStepsDownBeforeItsLeaseEnds);
-    CPPUNIT_TEST(lostAnswerToATakeLeavesNoHolderBehind);
-    CPPUNIT_TEST(registrationReplacesTheDaemonsOwnOldOne);
-    CPPUNIT_TEST(releaseFreesTheKeyAtOnce);
-    CPPUNIT_TEST(renewedLeaseLastsAsLongAsTheStoreSaid);
-    CPPUNIT_TEST(ownWriteDoesNotReplaceNewerNews);
-    CPPUNIT_TEST(keyThatLapsesWhileItIsTakenIsTakenAllTheSame);
+    CPPUNIT_TEST(lostAnswerToAnAcquisitionLeavesNoKeyBehind);
+    CPPUNIT_TEST(registrationReplacesThatOfThePreviousProcess);
+    CPPUNIT_TEST(releaseRemovesTheKey);
+    CPPUNIT_TEST(renewalUsesTheGrantedLifetime);
+    CPPUNIT_TEST(answerToAWriteDoesNotReplaceANewerRevision);
+    CPPUNIT_TEST(keyThatLapsesDuringAcquisitionIsAcquired);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void oneDaemonHoldsTheRoleAtATime()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts first(io, stage.clock, store, "d1");
-            DaemonParts second(io, stage.clock, store, "d2");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts first(io, env.clock, store, "d1");
+            DaemonParts second(io, env.clock, store, "d2");
             first.sync.round(yield);
             second.sync.round(yield);
             first.role.round(yield);
             second.role.round(yield); // Has not seen the other's key yet.
-            CPPUNIT_ASSERT(first.role.holds(stage.clock.now()));
-            CPPUNIT_ASSERT(!second.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(first.role.holds(env.clock.now()));
+            CPPUNIT_ASSERT(!second.role.holds(env.clock.now()));
             second.sync.round(yield);
             for (int i = 0; i < 10; ++i) {
-                stage.clock.advance(std::chrono::seconds(1));
+                env.clock.advance(std::chrono::seconds(1));
                 first.role.round(yield);
                 second.role.round(yield);
-                CPPUNIT_ASSERT(first.role.holds(stage.clock.now()));
-                CPPUNIT_ASSERT(!second.role.holds(stage.clock.now()));
+                CPPUNIT_ASSERT(first.role.holds(env.clock.now()));
+                CPPUNIT_ASSERT(!second.role.holds(env.clock.now()));
             }
         });
     }
 
     // The daemon with the additional delay finds the key taken, and has made no store call.
-    void betterCandidatesGoFirst()
+    void delayedCandidateYieldsToOthers()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts weak(io, stage.clock, store, "weak");
-            DaemonParts strong(io, stage.clock, store, "strong");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts delayed(io, env.clock, store, "weak");
+            DaemonParts prompt(io, env.clock, store, "strong");
             KeyHolderOptions options = DaemonParts::roleOptions("weak");
             options.precedence = std::chrono::milliseconds(500);
-            KeyHolder role(io, stage.clock, options, store, weak.fleet, weak.log);
-            weak.sync.round(yield);
-            strong.sync.round(yield);
+            KeyHolder role(io, env.clock, options, store, delayed.fleet, delayed.log);
+            delayed.sync.round(yield);
+            prompt.sync.round(yield);
             spawnCoroutine(io, [&](Yield inner) {
-                strong.role.round(inner);
-                weak.sync.round(inner);
+                prompt.role.round(inner);
+                delayed.sync.round(inner);
             });
             const int before = store.calls();
             role.round(yield);
-            CPPUNIT_ASSERT(!role.holds(stage.clock.now()));
-            CPPUNIT_ASSERT(strong.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!role.holds(env.clock.now()));
+            CPPUNIT_ASSERT(prompt.role.holds(env.clock.now()));
             CPPUNIT_ASSERT_EQUAL(before + 3, store.calls()); // A lease, a write and a watch.
         });
     }
 
     void holderStepsDownBeforeItsLeaseEnds()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts first(io, stage.clock, store, "d1");
-            DaemonParts second(io, stage.clock, store, "d2");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts first(io, env.clock, store, "d1");
+            DaemonParts second(io, env.clock, store, "d2");
             first.sync.round(yield);
             first.role.round(yield);
             second.sync.round(yield);
             // The first daemon is suspended and does not renew.
-            stage.clock.advance(std::chrono::milliseconds(2700));
-            CPPUNIT_ASSERT(!first.role.holds(stage.clock.now()));
+            env.clock.advance(std::chrono::milliseconds(2700));
+            CPPUNIT_ASSERT(!first.role.holds(env.clock.now()));
             second.sync.round(yield);
             second.role.round(yield);
-            CPPUNIT_ASSERT(!second.role.holds(stage.clock.now())
+            CPPUNIT_ASSERT(!second.role.holds(env.clock.now())
                            || store.value(FleetKeys::planner()));
-            stage.clock.advance(std::chrono::milliseconds(400));
+            env.clock.advance(std::chrono::milliseconds(400));
             second.sync.round(yield);
             second.role.round(yield);
-            CPPUNIT_ASSERT(second.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(second.role.holds(env.clock.now()));
             first.role.round(yield); // Resumes, and finds its lease expired.
-            CPPUNIT_ASSERT(!first.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!first.role.holds(env.clock.now()));
         });
     }
 
-    void lostAnswerToATakeLeavesNoHolderBehind()
+    void lostAnswerToAnAcquisitionLeavesNoKeyBehind()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts daemon(io, stage.clock, store, "d1");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.loseNextAnswer();
             daemon.role.round(yield);
-            CPPUNIT_ASSERT(!daemon.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!daemon.role.holds(env.clock.now()));
             CPPUNIT_ASSERT(!store.value(FleetKeys::planner()));
             daemon.sync.round(yield);
             daemon.role.round(yield);
-            CPPUNIT_ASSERT(daemon.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(daemon.role.holds(env.clock.now()));
         });
     }
 
-    void registrationReplacesTheDaemonsOwnOldOne()
+    void registrationReplacesThatOfThePreviousProcess()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreKey key = FleetKeys::daemon(DaemonId("d1"));
             store.put(key, "z"); // Of the previous process.
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             KeyHolderOptions options = DaemonParts::roleOptions("z");
             options.key = key;
             options.replaceExisting = true;
-            KeyHolder registration(io, stage.clock, options, store, daemon.fleet, daemon.log);
+            KeyHolder registration(io, env.clock, options, store, daemon.fleet, daemon.log);
             daemon.sync.round(yield);
             registration.round(yield);
-            CPPUNIT_ASSERT(registration.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(registration.holds(env.clock.now()));
             CPPUNIT_ASSERT_EQUAL(1, daemon.fleet.daemonCount());
             CPPUNIT_ASSERT_EQUAL(1, daemon.fleet.daemonsInZone(ZoneId("z")));
             CPPUNIT_ASSERT_EQUAL(0, daemon.fleet.daemonsInZone(ZoneId("y")));
         });
     }
 
-    void releaseFreesTheKeyAtOnce()
+    void releaseRemovesTheKey()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts daemon(io, stage.clock, store, "d1");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             daemon.role.round(yield);
             daemon.role.stop();
             daemon.role.release(yield);
-            CPPUNIT_ASSERT(!daemon.role.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!daemon.role.holds(env.clock.now()));
             CPPUNIT_ASSERT(!store.value(FleetKeys::planner()));
         });
     }
 
     // The granted lifetime may be shorter than the requested one, and renewals must use the former.
-    void renewedLeaseLastsAsLongAsTheStoreSaid()
+    void renewalUsesTheGrantedLifetime()
     {
         ManualClock clock;
         IoContext io(1);
-        SparingStore store(io, clock);
+        ShortLeaseStore store(io, clock);
         runCoroutine(io, [&](Yield yield) {
             DaemonParts daemon(io, clock, store, "d1");
             daemon.sync.round(yield);
@@ -164,7 +164,7 @@
     }
 
     // The answer to a write may be delivered after a watch has reported a newer revision.
-    void ownWriteDoesNotReplaceNewerNews()
+    void answerToAWriteDoesNotReplaceANewerRevision()
     {
         ManualClock clock;
         IoContext io(1);
@@ -184,7 +184,7 @@
 
     // A restarted daemon replaces its registration, and the old one lapses while the store grants
     // the new lease.
-    void keyThatLapsesWhileItIsTakenIsTakenAllTheSame()
+    void keyThatLapsesDuringAcquisitionIsAcquired()
     {
         ManualClock clock;
         IoContext io(1);
--- a/ramphinge/fleet_control/quarantine_keeper_test.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper_test.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-const RequestFingerprint harmful("f1");
-const HostId first("s1");
-const HostId second("s2");
-const HostId third("s3");
+const RequestFingerprint crashingRequest("f1");
+const HostId firstServer("s1");
+const HostId secondServer("s2");
+const HostId thirdServer("s3");
 
 // One daemon's view of the store, its quarantine, and the QuarantineKeeper that connects them.
 struct Daemon
@@ -32,26 +32,26 @@
     }
 
     // Updates the view from the store, and applies the reports in it.
-    void hear(Yield yield)
+    void receive(Yield yield)
     {
         parts.sync.round(yield);
         keeper.takeOver();
     }
 
-    void tell(Yield yield)
+    void publish(Yield yield)
     {
         clock.advance(std::chrono::milliseconds(250)); // The minimum time between two reports.
         keeper.round(yield);
     }
 
-    bool sees(const HostId &server)
+    bool recordCrash(const HostId &server)
     {
-        return quarantine().noteEnd({ harmful, AccountId("school"), "route" }, server, clock.now(),
-                                    clock.wallNow());
+        return quarantine().noteEnd({ crashingRequest, AccountId("school"), "route" }, server,
+                                    clock.now(), clock.wallNow());
     }
 
     Quarantine &quarantine() { return parts.dispatch.quarantine; }
-    bool holds() { return quarantine().holds(harmful); }
+    bool holds() { return quarantine().holds(crashingRequest); }
 
     DaemonParts parts;
     ManualClock &clock;
@@ -61,32 +61,32 @@
 class QuarantineKeeperTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuarantineKeeperTest);
-    CPPUNIT_TEST(addsUpWhatDaemonsSaw);
-    CPPUNIT_TEST(isKnownToOneThatStartsAfterAllWhoSawItAreGone);
-    CPPUNIT_TEST(daemonGoesOnFromItsEarlierLife);
-    CPPUNIT_TEST(isToldAfterAnOutageOfTheStore);
-    CPPUNIT_TEST(lostAnswerOfAWriteIsMadeGood);
-    CPPUNIT_TEST(whatIsHeldBackOutlastsTheReports);
-    CPPUNIT_TEST(wholeAnswerAtAnyDaemonClearsItEverywhere);
-    CPPUNIT_TEST(operatorsLetItGoUntilItEndsServersAnew);
-    CPPUNIT_TEST(oneDaemonTriesItOnce);
-    CPPUNIT_TEST(nothingIsTriedWithoutTheStoresWord);
-    CPPUNIT_TEST(nothingIsWrittenWhileNothingHappens);
-    CPPUNIT_TEST(damagedReportIsLeftOut);
+    CPPUNIT_TEST(crashesSeenByDifferentDaemonsAddUp);
+    CPPUNIT_TEST(reportsOutliveKilledDaemons);
+    CPPUNIT_TEST(daemonRestoresTheReportOfItsPreviousProcess);
+    CPPUNIT_TEST(reportIsPublishedAfterAStoreOutage);
+    CPPUNIT_TEST(reportIsWrittenAgainAfterALostAnswer);
+    CPPUNIT_TEST(quarantineOutlivesTheReports);
+    CPPUNIT_TEST(completeAnswerAtAnyDaemonReleasesTheRequestEverywhere);
+    CPPUNIT_TEST(releasedRequestIsQuarantinedAgainAfterNewCrashes);
+    CPPUNIT_TEST(oneDaemonIsGrantedOneTrial);
+    CPPUNIT_TEST(noTrialIsGrantedWithoutTheStore);
+    CPPUNIT_TEST(nothingIsWrittenWithoutChanges);
+    CPPUNIT_TEST(damagedReportIsIgnored);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void addsUpWhatDaemonsSaw()
+    void crashesSeenByDifferentDaemonsAddUp()
     {
-        play([](auto &daemons, MemoryKeyValueStore &, ManualClock &, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->tell(yield);
-            daemons[1]->hear(yield);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &, ManualClock &, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->publish(yield);
+            daemons[1]->receive(yield);
             CPPUNIT_ASSERT(!daemons[1]->holds());
-            CPPUNIT_ASSERT(daemons[1]->sees(second));
-            daemons[1]->tell(yield);
+            CPPUNIT_ASSERT(daemons[1]->recordCrash(secondServer));
+            daemons[1]->publish(yield);
             for (auto &daemon : daemons) {
-                daemon->hear(yield);
+                daemon->receive(yield);
                 CPPUNIT_ASSERT(daemon->holds());
             }
         });
@@ -94,192 +94,193 @@
 
     // The daemons that observed the crashes were killed, and their registrations have lapsed. Their
     // reports have leases of their own.
-    void isKnownToOneThatStartsAfterAllWhoSawItAreGone()
+    void reportsOutliveKilledDaemons()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->tell(yield);
-            daemons[1]->sees(second);
-            daemons[1]->tell(yield);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->publish(yield);
+            daemons[1]->recordCrash(secondServer);
+            daemons[1]->publish(yield);
             clock.advance(std::chrono::minutes(1));
             IoContext unused(1);
             Daemon newcomer(unused, clock, store, "newcomer");
-            newcomer.hear(yield);
+            newcomer.receive(yield);
             CPPUNIT_ASSERT(newcomer.holds());
         });
     }
 
-    void daemonGoesOnFromItsEarlierLife()
+    void daemonRestoresTheReportOfItsPreviousProcess()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->tell(yield);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->publish(yield);
             IoContext unused(1);
-            Daemon again(unused, clock, store, "d0");
-            again.hear(yield);
-            CPPUNIT_ASSERT(again.sees(second));
-            again.tell(yield);
-            daemons[1]->hear(yield);
+            Daemon restarted(unused, clock, store, "d0");
+            restarted.receive(yield);
+            CPPUNIT_ASSERT(restarted.recordCrash(secondServer));
+            restarted.publish(yield);
+            daemons[1]->receive(yield);
             CPPUNIT_ASSERT(daemons[1]->holds());
         });
     }
 
-    void isToldAfterAnOutageOfTheStore()
+    void reportIsPublishedAfterAStoreOutage()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
             store.setDown(true);
-            daemons[0]->hear(yield);
-            daemons[0]->sees(first);
-            daemons[0]->sees(second);
-            daemons[0]->tell(yield);
+            daemons[0]->receive(yield);
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->recordCrash(secondServer);
+            daemons[0]->publish(yield);
             store.setDown(false);
-            daemons[0]->hear(yield);
-            daemons[0]->tell(yield);
-            daemons[1]->hear(yield);
+            daemons[0]->receive(yield);
+            daemons[0]->publish(yield);
+            daemons[1]->receive(yield);
             CPPUNIT_ASSERT(daemons[1]->holds());
         });
     }
 
-    void lostAnswerOfAWriteIsMadeGood()
+    void reportIsWrittenAgainAfterALostAnswer()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->tell(yield); // Grants the lease.
-            daemons[0]->sees(second);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->publish(yield); // Grants the lease.
+            daemons[0]->recordCrash(secondServer);
             store.loseNextAnswer();
-            daemons[0]->tell(yield);
-            daemons[0]->sees(third);
-            daemons[0]->tell(yield); // Conflicts with its own write.
-            daemons[0]->hear(yield);
-            daemons[0]->tell(yield);
-            daemons[1]->hear(yield);
-            CPPUNIT_ASSERT_EQUAL(3, daemons[1]->quarantine().held().at(harmful).ends());
+            daemons[0]->publish(yield);
+            daemons[0]->recordCrash(thirdServer);
+            daemons[0]->publish(yield); // Conflicts with its own write.
+            daemons[0]->receive(yield);
+            daemons[0]->publish(yield);
+            daemons[1]->receive(yield);
+            CPPUNIT_ASSERT_EQUAL(3, daemons[1]->quarantine().held().at(crashingRequest).ends());
         });
     }
 
-    void whatIsHeldBackOutlastsTheReports()
+    void quarantineOutlivesTheReports()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->sees(second);
-            daemons[0]->tell(yield);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->recordCrash(secondServer);
+            daemons[0]->publish(yield);
             daemons[1]->parts.role.round(yield);
-            daemons[1]->hear(yield);
-            daemons[1]->tell(yield); // As planner.
+            daemons[1]->receive(yield);
+            daemons[1]->publish(yield); // As planner.
             CPPUNIT_ASSERT(store.value(FleetKeys::heldRequests()));
             clock.advance(std::chrono::minutes(11));
             CPPUNIT_ASSERT(!store.value(FleetKeys::crashes(DaemonId("d0"))));
             IoContext unused(1);
             Daemon newcomer(unused, clock, store, "newcomer");
-            newcomer.hear(yield);
+            newcomer.receive(yield);
             CPPUNIT_ASSERT(newcomer.holds());
         });
     }
 
-    void wholeAnswerAtAnyDaemonClearsItEverywhere()
+    void completeAnswerAtAnyDaemonReleasesTheRequestEverywhere()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->sees(second);
-            daemons[0]->tell(yield);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->recordCrash(secondServer);
+            daemons[0]->publish(yield);
             daemons[2]->parts.role.round(yield);
             for (auto &daemon : daemons)
-                daemon->hear(yield);
-            daemons[2]->tell(yield); // As planner.
+                daemon->receive(yield);
+            daemons[2]->publish(yield); // As planner.
             // The request was in progress there when it was quarantined.
-            CPPUNIT_ASSERT(daemons[1]->quarantine().noteAnswered(harmful, daemons[1]->clock.now()));
-            daemons[1]->tell(yield);
+            CPPUNIT_ASSERT(
+                daemons[1]->quarantine().noteAnswered(crashingRequest, daemons[1]->clock.now()));
+            daemons[1]->publish(yield);
             for (auto &daemon : daemons) {
-                daemon->hear(yield);
+                daemon->receive(yield);
                 CPPUNIT_ASSERT(!daemon->holds());
             }
             for (int round = 0; round < 5; ++round)
-                daemons[2]->tell(yield);
+                daemons[2]->publish(yield);
             CPPUNIT_ASSERT_EQUAL(std::string("{}"), *store.value(FleetKeys::heldRequests()));
         });
     }
 
-    void operatorsLetItGoUntilItEndsServersAnew()
+    void releasedRequestIsQuarantinedAgainAfterNewCrashes()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->sees(second);
-            CPPUNIT_ASSERT(releaseRequest(store, harmful, yield).error().kind()
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->recordCrash(secondServer);
+            CPPUNIT_ASSERT(releaseRequest(store, crashingRequest, yield).error().kind()
                            == ErrorKind::NotFound); // Not published yet.
-            daemons[0]->tell(yield);
+            daemons[0]->publish(yield);
             CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, readHeldRequests(store, yield).value().size());
-            CPPUNIT_ASSERT(releaseRequest(store, harmful, yield).ok());
+            CPPUNIT_ASSERT(releaseRequest(store, crashingRequest, yield).ok());
             CPPUNIT_ASSERT(readHeldRequests(store, yield).value().empty());
-            daemons[0]->hear(yield);
+            daemons[0]->receive(yield);
             CPPUNIT_ASSERT(!daemons[0]->holds());
-            daemons[0]->sees(third);
+            daemons[0]->recordCrash(thirdServer);
             CPPUNIT_ASSERT(!daemons[0]->holds());
-            daemons[0]->sees(HostId("s4"));
+            daemons[0]->recordCrash(HostId("s4"));
             CPPUNIT_ASSERT(daemons[0]->holds());
         });
     }
 
-    void oneDaemonTriesItOnce()
+    void oneDaemonIsGrantedOneTrial()
     {
-        play([](auto &daemons, MemoryKeyValueStore &, ManualClock &clock, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->sees(second);
-            daemons[0]->tell(yield);
-            daemons[1]->hear(yield);
-            CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(harmful, yield)); // Too early.
+        withDaemons([](auto &daemons, MemoryKeyValueStore &, ManualClock &clock, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->recordCrash(secondServer);
+            daemons[0]->publish(yield);
+            daemons[1]->receive(yield);
+            CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(crashingRequest, yield)); // Too early.
             clock.advance(std::chrono::seconds(5));
-            CPPUNIT_ASSERT(daemons[1]->keeper.grantTrial(harmful, yield));
-            CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(harmful, yield));
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(
-                harmful, yield)); // It has not received the grant; the store rejects its write.
+            CPPUNIT_ASSERT(daemons[1]->keeper.grantTrial(crashingRequest, yield));
+            CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(crashingRequest, yield));
+            // Has not received the grant; the store rejects its write.
+            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(crashingRequest, yield));
             for (int minute = 0; minute < 3; ++minute) {
                 clock.advance(std::chrono::minutes(1));
                 for (auto &daemon : daemons) {
-                    daemon->hear(yield);
-                    CPPUNIT_ASSERT(!daemon->keeper.grantTrial(harmful, yield));
+                    daemon->receive(yield);
+                    CPPUNIT_ASSERT(!daemon->keeper.grantTrial(crashingRequest, yield));
                 }
             }
         });
     }
 
-    void nothingIsTriedWithoutTheStoresWord()
+    void noTrialIsGrantedWithoutTheStore()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
-            daemons[0]->sees(first);
-            daemons[0]->sees(second);
-            daemons[0]->tell(yield);
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &clock, Yield yield) {
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->recordCrash(secondServer);
+            daemons[0]->publish(yield);
             clock.advance(std::chrono::seconds(5));
             store.setDown(true);
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(harmful, yield));
-            daemons[0]->hear(yield); // Detects that the store is unreachable.
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(harmful, yield));
+            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(crashingRequest, yield));
+            daemons[0]->receive(yield); // Detects that the store is unreachable.
+            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(crashingRequest, yield));
             CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(RequestFingerprint("unknown"), yield));
         });
     }
 
-    void nothingIsWrittenWhileNothingHappens()
+    void nothingIsWrittenWithoutChanges()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
             daemons[0]->parts.role.round(yield);
             const int before = store.calls();
             for (int round = 0; round < 100; ++round)
-                daemons[0]->tell(yield);
+                daemons[0]->publish(yield);
             CPPUNIT_ASSERT_EQUAL(before, store.calls());
-            daemons[0]->sees(first);
+            daemons[0]->recordCrash(firstServer);
             for (int round = 0; round < 100; ++round)
-                daemons[0]->tell(yield);
+                daemons[0]->publish(yield);
             CPPUNIT_ASSERT_EQUAL(before + 2, store.calls()); // A lease and a write.
         });
     }
 
-    void damagedReportIsLeftOut()
+    void damagedReportIsIgnored()
     {
-        play([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
+        withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
             store.put(FleetKeys::crashes(DaemonId("strange")), "[[[");
-            daemons[0]->sees(first);
-            daemons[0]->tell(yield);
-            daemons[1]->hear(yield);
-            daemons[1]->sees(second);
+            daemons[0]->recordCrash(firstServer);
+            daemons[0]->publish(yield);
+            daemons[1]->receive(yield);
+            daemons[1]->recordCrash(secondServer);
             CPPUNIT_ASSERT(daemons[1]->holds());
         });
     }
@@ -288,17 +289,17 @@
     using Daemons = std::vector<std::unique_ptr<Daemon>>;
 
     // Three daemons that have listed the store.
-    static void
-    play(const std::function<void(Daemons &, MemoryKeyValueStore &, ManualClock &, Yield)> &body)
+    static void withDaemons(
+        const std::function<void(Daemons &, MemoryKeyValueStore &, ManualClock &, Yield)> &body)
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             Daemons daemons;
             for (const char *name : { "d0", "d1", "d2" }) {
-                daemons.push_back(std::make_unique<Daemon>(io, stage.clock, store, name));
-                daemons.back()->hear(yield);
+                daemons.push_back(std::make_unique<Daemon>(io, env.clock, store, name));
+                daemons.back()->receive(yield);
             }
-            body(daemons, store, stage.clock, yield);
+            body(daemons, store, env.clock, yield);
         });
     }
 };
--- a/ramphinge/fleet_control/relayed_sync_test.cpp
+++ b/ramphinge/fleet_control/relayed_sync_test.cpp
@@ -12,48 +12,48 @@
 namespace {
 
 // Returns scripted answers and records the requests. Without an answer left, no relay can be asked.
-class ListedNews : public NewsSource
+class ScriptedUpdateSource : public NewsSource
 {
 public:
-    explicit ListedNews(ManualClock &clock) : m_clock(clock) { }
+    explicit ScriptedUpdateSource(ManualClock &clock) : m_clock(clock) { }
 
     bool canAsk(bool) const override { return !answers.empty(); }
 
     Result<RelayedNews> next(Revision after, Duration wait, bool storeLost, Yield) override
     {
-        asked.push_back({ after, wait, storeLost });
-        m_clock.advance(takes);
+        requests.push_back({ after, wait, storeLost });
+        m_clock.advance(answerDelay);
         Result<RelayedNews> answer = std::move(answers.front());
         answers.pop_front();
         return answer;
     }
 
     // Adds an answer that was complete `ago` before now.
-    void say(Revision upTo, std::vector<StoreChange> changes, Duration ago = {})
+    void addAnswer(Revision upTo, std::vector<StoreChange> changes, Duration ago = {})
     {
-        RelayedNews news;
-        news.batch.upTo = upTo;
-        news.batch.changes = std::move(changes);
-        news.provenAt = m_clock.now() - ago;
-        answers.push_back(std::move(news));
+        RelayedNews updates;
+        updates.batch.upTo = upTo;
+        updates.batch.changes = std::move(changes);
+        updates.provenAt = m_clock.now() - ago;
+        answers.push_back(std::move(updates));
     }
 
-    struct Question
+    struct Request
     {
         Revision after;
         Duration wait;
         bool storeLost;
     };
 
-    Duration takes {};
+    Duration answerDelay {};
     std::deque<Result<RelayedNews>> answers;
-    std::vector<Question> asked;
+    std::vector<Request> requests;
 
 private:
     ManualClock &m_clock;
 };
 
-class Follower : public PictureListener
+class CountingListener : public PictureListener
 {
 public:
     void pictureListed(Revision, MonotonicTime) override { ++listed; }
@@ -65,7 +65,7 @@
     int stopped = 0;
 };
 
-StoreSyncOptions largeFleet()
+StoreSyncOptions largeFleetOptions()
 {
     PictureBounds bounds;
     bounds.changeInForce = std::chrono::seconds(4);
@@ -84,25 +84,25 @@
 {
 public:
     RelayedDaemon(IoContext &io, ManualClock &clock, MemoryKeyValueStore &store, Yield yield)
-        : store(store), news(clock), daemon(io, clock, store, "d1", largeFleet())
+        : store(store), updates(clock), daemon(io, clock, store, "d1", largeFleetOptions())
     {
         store.put(catalogKey, "1");
         store.put(StoreKey("server/a"), "chat");
-        daemon.sync.useRelays(news, follower, [this] { return isRelay; });
+        daemon.sync.useRelays(updates, listener, [this] { return isRelay; });
         daemon.sync.round(yield);
         calls = store.calls();
     }
 
-    bool knows(const char *name) const
+    bool knowsServer(const char *name) const
     {
         return daemon.fleet.servers.find(HostId(name)) != nullptr;
     }
 
-    int callsSince() { return store.calls() - std::exchange(calls, store.calls()); }
+    int takeCallCount() { return store.calls() - std::exchange(calls, store.calls()); }
 
     MemoryKeyValueStore &store;
-    ListedNews news;
-    Follower follower;
+    ScriptedUpdateSource updates;
+    CountingListener listener;
     DaemonParts daemon;
     bool isRelay = false;
     int calls = 0;
@@ -110,10 +110,10 @@
 
 void withRelayedDaemon(const std::function<void(RelayedDaemon &, ManualClock &, Yield)> &body)
 {
-    Stage stage;
-    stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-        RelayedDaemon daemon(io, stage.clock, store, yield);
-        body(daemon, stage.clock, yield);
+    TestEnvironment env;
+    env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        RelayedDaemon daemon(io, env.clock, store, yield);
+        body(daemon, env.clock, yield);
     });
 }
 
@@ -122,39 +122,39 @@
 class RelayedSyncTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayedSyncTest);
-    CPPUNIT_TEST(newsOfARelayNeedNoCallOfTheStore);
+    CPPUNIT_TEST(relayedChangesNeedNoStoreCall);
     CPPUNIT_TEST(proofIsAsOldAsTheRelaysOwn);
-    CPPUNIT_TEST(storeIsAskedWhereTheRelayIsOfNoUse);
+    CPPUNIT_TEST(storeIsCalledIfTheRelayFails);
     CPPUNIT_TEST(nextRelayIsAskedBeforeTheStore);
-    CPPUNIT_TEST(oldPictureIsRenewedFromTheStore);
-    CPPUNIT_TEST(relayIsAskedOnWhileItHasMoreToTell);
-    CPPUNIT_TEST(silentRelayIsReplacedWithinTheBounds);
-    CPPUNIT_TEST(relayThatIsBehindTakesNothingBack);
-    CPPUNIT_TEST(daemonWithoutItsStoreFollowsTheRelay);
-    CPPUNIT_TEST(lostStoreIsAskedSeldomBesideALostRelay);
+    CPPUNIT_TEST(staleViewIsUpdatedFromTheStore);
+    CPPUNIT_TEST(relayIsAskedAgainAfterATruncatedAnswer);
+    CPPUNIT_TEST(storeIsCalledInTimeIfTheRelayStalls);
+    CPPUNIT_TEST(relayWithAnOlderViewRevertsNothing);
+    CPPUNIT_TEST(daemonWithoutTheStoreFollowsTheRelay);
+    CPPUNIT_TEST(storeIsCalledRarelyIfTheRelayHasLostItToo);
     CPPUNIT_TEST(relaysAndDaemonsWithoutOneAskTheStore);
-    CPPUNIT_TEST(tightBoundsLeaveNoTimeForAHop);
-    CPPUNIT_TEST(timesOfAHopFitTheBounds);
+    CPPUNIT_TEST(tightBoundsLeaveNoTimeForRelaying);
+    CPPUNIT_TEST(relayTimesFitTheBounds);
     CPPUNIT_TEST(plannerWritesTheLinkKeyOnce);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newsOfARelayNeedNoCallOfTheStore()
+    void relayedChangesNeedNoStoreCall()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
             clock.advance(std::chrono::seconds(3)); // The start counts as the end of an outage.
             relayed.daemon.sync.round(yield);
-            relayed.callsSince();
-            relayed.news.say(Revision(3), { serverChange("b", 3) });
+            relayed.takeCallCount();
+            relayed.updates.addAnswer(Revision(3), { serverChange("b", 3) });
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT_EQUAL(0, relayed.callsSince());
-            CPPUNIT_ASSERT(relayed.knows("b"));
+            CPPUNIT_ASSERT_EQUAL(0, relayed.takeCallCount());
+            CPPUNIT_ASSERT(relayed.knowsServer("b"));
             CPPUNIT_ASSERT(relayed.daemon.dispatch.freshness.age(clock.now()) == Duration::zero());
-            relayed.news.say(Revision(4), { { StoreKey("server/a"), std::nullopt } });
+            relayed.updates.addAnswer(Revision(4), { { StoreKey("server/a"), std::nullopt } });
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.news.asked.back().after == Revision(3));
-            CPPUNIT_ASSERT(!relayed.knows("a"));
-            CPPUNIT_ASSERT_EQUAL(0, relayed.callsSince());
+            CPPUNIT_ASSERT(relayed.updates.requests.back().after == Revision(3));
+            CPPUNIT_ASSERT(!relayed.knowsServer("a"));
+            CPPUNIT_ASSERT_EQUAL(0, relayed.takeCallCount());
         });
     }
 
@@ -162,27 +162,27 @@
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
             clock.advance(std::chrono::milliseconds(1000));
-            relayed.news.say(Revision(2), {}, std::chrono::milliseconds(700));
+            relayed.updates.addAnswer(Revision(2), {}, std::chrono::milliseconds(700));
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(*relayed.daemon.dispatch.freshness.age(clock.now())
                            == std::chrono::milliseconds(700));
-            relayed.news.say(Revision(2), {}, std::chrono::milliseconds(900));
+            relayed.updates.addAnswer(Revision(2), {}, std::chrono::milliseconds(900));
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(*relayed.daemon.dispatch.freshness.age(clock.now())
                            == std::chrono::milliseconds(700)); // An older proof changes nothing.
         });
     }
 
-    void storeIsAskedWhereTheRelayIsOfNoUse()
+    void storeIsCalledIfTheRelayFails()
     {
         for (const ErrorKind kind : { ErrorKind::Unavailable, ErrorKind::NotFound,
                                       ErrorKind::Overloaded, ErrorKind::Unknown }) {
             withRelayedDaemon([kind](RelayedDaemon &relayed, ManualClock &, Yield yield) {
                 relayed.store.put(StoreKey("server/b"), "chat");
-                relayed.news.answers.push_back(Error(kind, "of no use"));
+                relayed.updates.answers.push_back(Error(kind, "of no use"));
                 relayed.daemon.sync.round(yield);
-                CPPUNIT_ASSERT(relayed.knows("b"));
-                CPPUNIT_ASSERT_EQUAL(1, relayed.callsSince());
+                CPPUNIT_ASSERT(relayed.knowsServer("b"));
+                CPPUNIT_ASSERT_EQUAL(1, relayed.takeCallCount());
                 CPPUNIT_ASSERT(relayed.daemon.fleet.storeReachable);
             });
         }
@@ -191,129 +191,130 @@
     void nextRelayIsAskedBeforeTheStore()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &, Yield yield) {
-            relayed.news.answers.push_back(Error(ErrorKind::Unavailable, "store lost"));
-            relayed.news.say(Revision(3), { serverChange("b", 3) });
+            relayed.updates.answers.push_back(Error(ErrorKind::Unavailable, "store lost"));
+            relayed.updates.addAnswer(Revision(3), { serverChange("b", 3) });
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.knows("b"));
-            CPPUNIT_ASSERT_EQUAL(0, relayed.callsSince());
-            relayed.news.answers.push_back(Error(ErrorKind::Unknown, "no answer"));
-            relayed.news.say(Revision(4), { serverChange("c", 4) });
+            CPPUNIT_ASSERT(relayed.knowsServer("b"));
+            CPPUNIT_ASSERT_EQUAL(0, relayed.takeCallCount());
+            relayed.updates.answers.push_back(Error(ErrorKind::Unknown, "no answer"));
+            relayed.updates.addAnswer(Revision(4), { serverChange("c", 4) });
             relayed.daemon.sync.round(yield); // The failure was slow: no other relay is asked.
-            CPPUNIT_ASSERT_EQUAL(1, relayed.callsSince());
+            CPPUNIT_ASSERT_EQUAL(1, relayed.takeCallCount());
         });
     }
 
     // The relay is partitioned from the store and has not detected it: its proof is not renewed.
-    void oldPictureIsRenewedFromTheStore()
+    void staleViewIsUpdatedFromTheStore()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
             const MonotonicTime start = clock.now();
-            const StoreSyncOptions options = largeFleet();
+            const StoreSyncOptions options = largeFleetOptions();
             relayed.store.put(StoreKey("server/b"), "chat");
-            relayed.news.takes = options.relayedWait;
-            while (!relayed.knows("b")) {
-                relayed.news.answers.clear();
-                relayed.news.say(Revision(2), {}, clock.now() - start);
+            relayed.updates.answerDelay = options.relayRequestWait;
+            while (!relayed.knowsServer("b")) {
+                relayed.updates.answers.clear();
+                relayed.updates.addAnswer(Revision(2), {}, clock.now() - start);
                 relayed.daemon.sync.round(yield);
                 CPPUNIT_ASSERT(clock.now() - start < std::chrono::seconds(4));
             }
-            CPPUNIT_ASSERT(relayed.news.asked.size() > 1);
+            CPPUNIT_ASSERT(relayed.updates.requests.size() > 1);
         });
     }
 
     // Even if the view is too old: the store would return the same changes, one call per part.
-    void relayIsAskedOnWhileItHasMoreToTell()
+    void relayIsAskedAgainAfterATruncatedAnswer()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
-            relayed.news.say(Revision(3), { serverChange("b", 3) }, std::chrono::hours(24));
-            relayed.news.answers.back().value().batch.reachesPresent = false;
+            relayed.updates.addAnswer(Revision(3), { serverChange("b", 3) },
+                                      std::chrono::hours(24));
+            relayed.updates.answers.back().value().batch.reachesPresent = false;
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(relayed.daemon.sync.pauseAfterRound() == Duration::zero());
-            clock.advance(largeFleet().relayedAge + std::chrono::milliseconds(1));
-            relayed.news.say(Revision(4), { serverChange("c", 4) });
+            clock.advance(largeFleetOptions().maxRelayedAge + std::chrono::milliseconds(1));
+            relayed.updates.addAnswer(Revision(4), { serverChange("c", 4) });
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.knows("b") && relayed.knows("c"));
-            CPPUNIT_ASSERT_EQUAL(0, relayed.callsSince());
-            CPPUNIT_ASSERT(relayed.news.asked.back().wait == Duration::zero());
+            CPPUNIT_ASSERT(relayed.knowsServer("b") && relayed.knowsServer("c"));
+            CPPUNIT_ASSERT_EQUAL(0, relayed.takeCallCount());
+            CPPUNIT_ASSERT(relayed.updates.requests.back().wait == Duration::zero());
             CPPUNIT_ASSERT(relayed.daemon.dispatch.freshness.age(clock.now()) == Duration::zero());
         });
     }
 
     // A relay stalls during a request that begins when the view is almost as old as allowed: the
     // store must still be called within the bounds.
-    void silentRelayIsReplacedWithinTheBounds()
+    void storeIsCalledInTimeIfTheRelayStalls()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
             const MonotonicTime start = clock.now();
-            const StoreSyncOptions options = largeFleet();
-            clock.advance(options.relayedAge - std::chrono::milliseconds(10));
+            const StoreSyncOptions options = largeFleetOptions();
+            clock.advance(options.maxRelayedAge - std::chrono::milliseconds(10));
             relayed.store.put(StoreKey("server/b"), "chat");
-            relayed.news.takes = std::chrono::milliseconds(10) + watchLateness;
-            relayed.news.answers.push_back(Error(ErrorKind::Unknown, "no answer"));
+            relayed.updates.answerDelay = std::chrono::milliseconds(10) + watchLateness;
+            relayed.updates.answers.push_back(Error(ErrorKind::Unknown, "no answer"));
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.news.asked.front().wait == std::chrono::milliseconds(10));
-            CPPUNIT_ASSERT(relayed.knows("b"));
+            CPPUNIT_ASSERT(relayed.updates.requests.front().wait == std::chrono::milliseconds(10));
+            CPPUNIT_ASSERT(relayed.knowsServer("b"));
             CPPUNIT_ASSERT(clock.now() - start < std::chrono::seconds(4));
         });
     }
 
-    void relayThatIsBehindTakesNothingBack()
+    void relayWithAnOlderViewRevertsNothing()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &, Yield yield) {
             relayed.store.put(StoreKey("server/b"), "chat");
             relayed.daemon.sync.round(yield); // Revision 3, from the store itself.
-            relayed.news.say(Revision(2), {});
+            relayed.updates.addAnswer(Revision(2), {});
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.knows("b"));
-            relayed.news.say(Revision(4), {});
+            CPPUNIT_ASSERT(relayed.knowsServer("b"));
+            relayed.updates.addAnswer(Revision(4), {});
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.news.asked.back().after == Revision(3));
+            CPPUNIT_ASSERT(relayed.updates.requests.back().after == Revision(3));
         });
     }
 
-    void daemonWithoutItsStoreFollowsTheRelay()
+    void daemonWithoutTheStoreFollowsTheRelay()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
             relayed.store.setDown(true);
-            relayed.news.answers.push_back(Error(ErrorKind::Unavailable, "store lost"));
+            relayed.updates.answers.push_back(Error(ErrorKind::Unavailable, "store lost"));
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(!relayed.daemon.fleet.storeReachable);
             clock.advance(std::chrono::milliseconds(500));
-            relayed.news.say(Revision(3), { serverChange("b", 3) });
+            relayed.updates.addAnswer(Revision(3), { serverChange("b", 3) });
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.news.asked.back().storeLost);
+            CPPUNIT_ASSERT(relayed.updates.requests.back().storeLost);
             CPPUNIT_ASSERT(relayed.daemon.fleet.storeReachable);
-            CPPUNIT_ASSERT(relayed.knows("b"));
+            CPPUNIT_ASSERT(relayed.knowsServer("b"));
             CPPUNIT_ASSERT(relayed.daemon.dispatch.freshness.age(clock.now()) == Duration::zero());
         });
     }
 
     // During an outage of ten seconds. Once the store is back and only the relay can't reach it,
     // the daemon must still notice in time.
-    void lostStoreIsAskedSeldomBesideALostRelay()
+    void storeIsCalledRarelyIfTheRelayHasLostItToo()
     {
         withRelayedDaemon([](RelayedDaemon &relayed, ManualClock &clock, Yield yield) {
-            const StoreSyncOptions options = largeFleet();
-            const auto answerLost = [&] {
-                relayed.news.answers.clear();
-                relayed.news.answers.push_back(Error(ErrorKind::Unavailable, "store lost"));
+            const StoreSyncOptions options = largeFleetOptions();
+            const auto runRoundWithLostRelay = [&] {
+                relayed.updates.answers.clear();
+                relayed.updates.answers.push_back(Error(ErrorKind::Unavailable, "store lost"));
                 relayed.daemon.sync.round(yield);
             };
             relayed.store.setDown(true);
-            answerLost();
-            relayed.news.takes = options.relayedWait;
-            relayed.callsSince();
+            runRoundWithLostRelay();
+            relayed.updates.answerDelay = options.relayRequestWait;
+            relayed.takeCallCount();
             const MonotonicTime start = clock.now();
             while (clock.now() - start < std::chrono::seconds(10)) {
-                answerLost();
-                clock.advance(options.retry);
+                runRoundWithLostRelay();
+                clock.advance(options.retryDelay);
             }
-            const int calls = relayed.callsSince();
+            const int calls = relayed.takeCallCount();
             CPPUNIT_ASSERT(calls >= 4 && calls <= 7);
             relayed.store.setDown(false);
             const MonotonicTime back = clock.now();
             while (!relayed.daemon.fleet.storeReachable)
-                answerLost();
+                runRoundWithLostRelay();
             CPPUNIT_ASSERT(clock.now() - back < std::chrono::milliseconds(2500));
         });
     }
@@ -324,57 +325,57 @@
             relayed.isRelay = true; // canAsk() returns false on a relay.
             relayed.store.put(StoreKey("server/b"), "chat");
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT(relayed.knows("b"));
-            CPPUNIT_ASSERT(relayed.news.asked.empty());
-            CPPUNIT_ASSERT_EQUAL(1, relayed.follower.listed);
-            CPPUNIT_ASSERT_EQUAL(1, relayed.follower.advanced);
+            CPPUNIT_ASSERT(relayed.knowsServer("b"));
+            CPPUNIT_ASSERT(relayed.updates.requests.empty());
+            CPPUNIT_ASSERT_EQUAL(1, relayed.listener.listed);
+            CPPUNIT_ASSERT_EQUAL(1, relayed.listener.advanced);
             relayed.store.setDown(true);
             relayed.daemon.sync.round(yield);
-            CPPUNIT_ASSERT_EQUAL(1, relayed.follower.stopped);
+            CPPUNIT_ASSERT_EQUAL(1, relayed.listener.stopped);
         });
     }
 
-    void tightBoundsLeaveNoTimeForAHop()
+    void tightBoundsLeaveNoTimeForRelaying()
     {
-        CPPUNIT_ASSERT(storeSyncOptions({}).relayedAge == Duration::zero());
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        CPPUNIT_ASSERT(storeSyncOptions({}).maxRelayedAge == Duration::zero());
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(StoreKey("server/a"), "chat");
-            ListedNews news(stage.clock);
-            Follower follower;
-            DaemonParts daemon(io, stage.clock, store, "d1", storeSyncOptions({}));
-            daemon.sync.useRelays(news, follower, [] { return false; });
-            news.say(Revision(1), {});
+            ScriptedUpdateSource updates(env.clock);
+            CountingListener listener;
+            DaemonParts daemon(io, env.clock, store, "d1", storeSyncOptions({}));
+            daemon.sync.useRelays(updates, listener, [] { return false; });
+            updates.addAnswer(Revision(1), {});
             for (int i = 0; i < 3; ++i)
                 daemon.sync.round(yield);
-            CPPUNIT_ASSERT(news.asked.empty());
+            CPPUNIT_ASSERT(updates.requests.empty());
         });
     }
 
     // A relay that answers at the end of the wait has a proof as old as two of its watches, one
     // batching delay and the wait. For bounds from three seconds on, that must be within the
     // maximum age.
-    void timesOfAHopFitTheBounds()
+    void relayTimesFitTheBounds()
     {
         for (int seconds = 3; seconds <= 12; ++seconds) {
             PictureBounds bounds;
             bounds.changeInForce = std::chrono::seconds(seconds);
             bounds.connectivityGrace = std::chrono::seconds(seconds + 1);
             const StoreSyncOptions options = storeSyncOptions(bounds);
-            CPPUNIT_ASSERT(options.relayedAge > Duration::zero());
-            CPPUNIT_ASSERT(2 * options.watchWaitAsRelay + options.gatherAsRelay
-                               + options.relayedWait
-                           <= options.relayedAge + std::chrono::milliseconds(1));
-            CPPUNIT_ASSERT(options.relayedAge + watchLateness < bounds.changeInForce);
+            CPPUNIT_ASSERT(options.maxRelayedAge > Duration::zero());
+            CPPUNIT_ASSERT(2 * options.watchWaitAsRelay + options.batchDelayAsRelay
+                               + options.relayRequestWait
+                           <= options.maxRelayedAge + std::chrono::milliseconds(1));
+            CPPUNIT_ASSERT(options.maxRelayedAge + watchLateness < bounds.changeInForce);
         }
     }
 
     void plannerWritesTheLinkKeyOnce()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts daemon(io, stage.clock, store, "d1");
-            LinkKeyWriter writer(io, stage.clock, store, daemon.fleet, daemon.role, daemon.log);
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts daemon(io, env.clock, store, "d1");
+            LinkKeyWriter writer(io, env.clock, store, daemon.fleet, daemon.role, daemon.log);
             daemon.sync.round(yield);
             writer.round(yield); // This daemon is not the planner yet.
             CPPUNIT_ASSERT(!store.value(FleetKeys::linkKey()));
--- a/ramphinge/fleet_control/store_sync.h
+++ b/ramphinge/fleet_control/store_sync.h
@@ -36,15 +36,16 @@
 
 struct StoreSyncOptions
 {
-    // How long one watch waits. Two watches plus `gather` must be shorter than the maximum age of
-    // the freshness proof; `gather` plus one watch and the call after it, than `connectivityGrace`.
+    // How long one watch waits. Two watches plus `batchDelay` must be shorter than the maximum
+    // age of the freshness proof; `batchDelay` plus one watch and the call after it, than
+    // `connectivityGrace`.
     Duration watchWait = std::chrono::milliseconds(1000);
     // Delay after a watch that returned changes, so that changes in quick succession cost one call.
-    Duration gather = std::chrono::milliseconds(1000);
-    Duration gatherAsPlanner = std::chrono::milliseconds(100);
+    Duration batchDelay = std::chrono::milliseconds(1000);
+    Duration batchDelayAsPlanner = std::chrono::milliseconds(100);
     // Delay after a failed call, with jitter up to twice as long. No exponential backoff: after an
     // outage, departed servers must be known soon.
-    Duration retry = std::chrono::milliseconds(100);
+    Duration retryDelay = std::chrono::milliseconds(100);
     // How long after its connectivity is restored the daemon's view must be within its bounds
     // again.
     Duration connectivityGrace = std::chrono::seconds(3);
@@ -53,17 +54,17 @@
     Duration returnGrace = std::chrono::milliseconds(2200);
     // Shortest outage of the store in which an entry can lapse: entries last for three heartbeats,
     // and the last heartbeat was up to one interval before the outage.
-    Duration entriesStand = std::chrono::milliseconds(2400);
+    Duration minLapseOutage = std::chrono::milliseconds(2400);
     // Maximum age of the freshness proof of a view that follows a relay; the store itself is called
     // if it is older. Zero: the bounds leave no time for relaying, so relays aren't used.
-    Duration relayedAge {};
-    Duration relayedWait {}; // How long a relay may wait for a change before it answers.
+    Duration maxRelayedAge {};
+    Duration relayRequestWait {}; // How long a relay may wait for a change before it answers.
     // Between two store calls of a daemon that can't reach the store and whose relay can't either:
     // a relay answers once the store is back.
-    Duration lostInterval {};
-    Duration gatherRelayed {}; // Delay after changes from a relay.
+    Duration disconnectedCallInterval {};
+    Duration batchDelayRelayed {}; // Delay after changes from a relay.
     Duration watchWaitAsRelay {}; // For the watches of a daemon that is a relay.
-    Duration gatherAsRelay {};
+    Duration batchDelayAsRelay {};
     // How often retained servers are checked for the end of their grace period.
     Duration expiryInterval = std::chrono::milliseconds(100);
 };
@@ -113,24 +114,24 @@
     void stop() { m_stopping = true; }
 
 private:
-    void bringUpToDate(MonotonicTime startedAt, Yield yield);
-    Status synchronize(Yield yield);
-    Status watchOnce(Duration wait, Yield yield);
-    Status askRelay(Yield yield);
-    Result<RelayedNews> nextNews(Duration wait, Yield yield);
+    void updateView(MonotonicTime startedAt, Yield yield);
+    Status listStore(Yield yield);
+    Status watchStore(Duration wait, Yield yield);
+    Status watchRelay(Yield yield);
+    Result<RelayedNews> nextRelayedChanges(Duration wait, Yield yield);
     void applyBatch(const WatchBatch &batch);
     Duration watchWait() const;
-    Duration gatherTime() const;
+    Duration currentBatchDelay() const;
     void apply(const StoreKey &key, const std::optional<StoredValue> &stored);
-    void proveFresh(MonotonicTime startedAt);
+    void recordFreshness(MonotonicTime startedAt);
     void applyCatalog(const StoredValue &stored);
     void applyServer(const ServerName &name, const std::optional<StoredValue> &stored);
-    void noteUnreadable(const ServerName &name, const Error &why);
-    void applyOwn(const StoreKey &key, const std::optional<StoredValue> &stored);
+    void handleUnreadableEntry(const ServerName &name, const Error &why);
+    void applyDaemonKey(const StoreKey &key, const std::optional<StoredValue> &stored);
     // Until when servers that may have departed are retained during an outage.
-    MonotonicTime believedUntil() const;
-    void noteAnswered(MonotonicTime answeredAt);
-    void noteFailed(MonotonicTime startedAt, const Error &error);
+    MonotonicTime retainedUntil() const;
+    void handleAnswer(MonotonicTime answeredAt);
+    void handleFailure(MonotonicTime startedAt, const Error &error);
 
     IoContext &m_io;
     const Clock &m_clock;
@@ -143,21 +144,21 @@
     std::function<bool()> m_isPlanner;
     std::function<void()> m_onChange;
     Random m_random;
-    Revision m_upTo; // The view includes every change up to this revision.
+    Revision m_syncedRevision; // The view includes every change up to this revision.
     // The store's last answer, to this daemon or to the relay whose changes were applied.
-    MonotonicTime m_answeredAt;
-    MonotonicTime m_directlyAnsweredAt; // The store's last answer to this daemon itself.
-    MonotonicTime m_calledAt; // The begin of this daemon's last watch on the store.
-    MonotonicTime m_provenAt; // The view includes all changes up to this time. Never decreases.
+    MonotonicTime m_lastAnswerAt;
+    MonotonicTime m_lastDirectAnswerAt; // The store's last answer to this daemon itself.
+    MonotonicTime m_lastWatchCallAt; // The start of this daemon's last watch on the store.
+    MonotonicTime m_freshAsOf; // The view includes all changes up to this time. Never decreases.
     // Latest time at which failed calls prove that the store could not be reached.
-    MonotonicTime m_brokenAt;
+    MonotonicTime m_disconnectedAt;
     bool m_catalogReadable = true; // The newest catalog could be decoded, so it is in use.
-    bool m_hadNews = false; // The last answer contained changes.
+    bool m_hadChanges = false; // The last answer contained changes.
     // The last answer was complete; else the next iteration follows immediately.
-    bool m_reachedPresent = true;
-    bool m_relayed = false; // The last answer came from a relay.
-    NewsSource *m_source = nullptr; // Null if there are no relays.
-    PictureListener *m_listener = nullptr; // Null if m_source is.
+    bool m_isCaughtUp = true;
+    bool m_lastAnswerWasRelayed = false; // The last answer came from a relay.
+    NewsSource *m_relaySource = nullptr; // Null if there are no relays.
+    PictureListener *m_viewListener = nullptr; // Null if m_relaySource is.
     std::function<bool()> m_isRelay = [] { return false; };
     bool m_stopping = false;
 };
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -11,48 +11,48 @@
 class StoreSyncTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(StoreSyncTest);
-    CPPUNIT_TEST(pictureFollowsTheStore);
-    CPPUNIT_TEST(lostHistoryIsListedAnew);
-    CPPUNIT_TEST(pictureIsListedAnewAfterAFailureInside);
-    CPPUNIT_TEST(catalogNeverGoesBack);
+    CPPUNIT_TEST(viewFollowsTheStore);
+    CPPUNIT_TEST(storeIsListedAgainAfterLostHistory);
+    CPPUNIT_TEST(storeIsListedAgainAfterAnException);
+    CPPUNIT_TEST(olderCatalogIsIgnored);
     CPPUNIT_TEST(damagedDocumentsChangeNothing);
-    CPPUNIT_TEST(damagedEntryNamesNoServerAndTheOthersHold);
-    CPPUNIT_TEST(restartBetweenTwoWatchesIsSeen);
-    CPPUNIT_TEST(restartWhileTheStoreIsAwayIsSeen);
+    CPPUNIT_TEST(damagedEntryDropsOnlyItsServer);
+    CPPUNIT_TEST(restartBetweenTwoWatchesIsDetected);
+    CPPUNIT_TEST(restartDuringAStoreOutageIsDetected);
     CPPUNIT_TEST(watchProvesFreshnessOutageDoesNot);
-    CPPUNIT_TEST(answersThatAreCutShortProveNothing);
-    CPPUNIT_TEST(manyChangesAreTakenInWithoutPauses);
-    CPPUNIT_TEST(entriesThatLapsedInAnOutageAreKeptForAMoment);
-    CPPUNIT_TEST(keptServersAreGoneOnceTheDaemonIsInTouch);
-    CPPUNIT_TEST(keptServersGetTheTimeToComeBack);
-    CPPUNIT_TEST(nobodyIsKeptAfterAShortSilence);
-    CPPUNIT_TEST(silentConnectionIsNoticedInTime);
-    CPPUNIT_TEST(nobodyIsKeptLongerAfterASilentConnection);
-    CPPUNIT_TEST(nobodyIsKeptLongerByAStoreThatTurnsCallsAway);
-    CPPUNIT_TEST(outageOfOneCallIsDatedByTheLastAnswer);
-    CPPUNIT_TEST(nobodyIsKeptLongerThanServersTakeToComeBack);
-    CPPUNIT_TEST(keptServersStayWhileTheStoreIsAwayAgain);
-    CPPUNIT_TEST(keptServersAreNotKeptLongerByACallThatIsTurnedAway);
-    CPPUNIT_TEST(unreadableCatalogProvesNothing);
-    CPPUNIT_TEST(olderNewsDoesNotReplaceOwnWrites);
+    CPPUNIT_TEST(truncatedAnswersProveNoFreshness);
+    CPPUNIT_TEST(truncatedAnswersAreFollowedWithoutDelay);
+    CPPUNIT_TEST(serversWithLapsedEntriesAreRetainedBriefly);
+    CPPUNIT_TEST(retainedServersExpireWithinTheConnectivityGrace);
+    CPPUNIT_TEST(retainedServersHaveTimeToRegisterAgain);
+    CPPUNIT_TEST(noServerIsRetainedAfterAShortOutage);
+    CPPUNIT_TEST(stalledConnectionIsDetectedInTime);
+    CPPUNIT_TEST(stalledConnectionDoesNotExtendRetention);
+    CPPUNIT_TEST(rejectedCallsAfterAnOutageDoNotExtendRetention);
+    CPPUNIT_TEST(outageOfOneCallBeginsAtTheLastAnswer);
+    CPPUNIT_TEST(retentionEndsAfterTheReturnGrace);
+    CPPUNIT_TEST(serversAreRetainedThroughASecondOutage);
+    CPPUNIT_TEST(laterRejectedCallDoesNotExtendRetention);
+    CPPUNIT_TEST(unreadableCatalogProvesNoFreshness);
+    CPPUNIT_TEST(olderWatchAnswerDoesNotReplaceOwnWrite);
     CPPUNIT_TEST(listReplacesOlderOwnWritesOnly);
-    CPPUNIT_TEST(gatheringFitsTheBounds);
+    CPPUNIT_TEST(batchingFitsTheBounds);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void pictureFollowsTheStore()
+    void viewFollowsTheStore()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(catalogKey, "3");
             store.put(StoreKey("server/a"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.synced);
             CPPUNIT_ASSERT(daemon.dispatch.catalog->version() == CatalogVersion(3));
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a")) != nullptr);
             // The start counts as the end of an outage.
-            stage.clock.advance(std::chrono::seconds(3));
+            env.clock.advance(std::chrono::seconds(3));
             store.put(StoreKey("server/b"), "chat");
             store.erase(StoreKey("server/a"));
             store.put(catalogKey, "5");
@@ -65,14 +65,14 @@
         });
     }
 
-    void lostHistoryIsListedAnew()
+    void storeIsListedAgainAfterLostHistory()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(StoreKey("server/a"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
-            stage.clock.advance(std::chrono::seconds(3));
+            env.clock.advance(std::chrono::seconds(3));
             store.erase(StoreKey("server/a"));
             store.put(StoreKey("server/b"), "chat");
             store.forgetHistory();
@@ -87,11 +87,11 @@
     // Guards against requests to departed servers for as long as the daemon runs. The revision of a
     // batch is recorded before its changes are applied; an exception in one change lost all later
     // ones of the batch, and the store still counted as reachable.
-    void pictureIsListedAnewAfterAFailureInside()
+    void storeIsListedAgainAfterAnException()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts daemon(io, stage.clock, store, "d1");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.put(StoreKey("server/a"), "chat no-number"); // TestDecoder throws.
             store.put(StoreKey("server/b"), "chat");
@@ -105,12 +105,12 @@
         });
     }
 
-    void catalogNeverGoesBack()
+    void olderCatalogIsIgnored()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(catalogKey, "9");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.put(catalogKey, "8");
             daemon.sync.round(yield);
@@ -120,10 +120,10 @@
 
     void damagedDocumentsChangeNothing()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(catalogKey, "9");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.put(catalogKey, "damaged");
             store.put(FleetKeys::plan(), "damaged");
@@ -135,14 +135,14 @@
 
     // By a watch and by a list. The server is not retained, since its entry is not missing, and is
     // used again once its entry is readable.
-    void damagedEntryNamesNoServerAndTheOthersHold()
+    void damagedEntryDropsOnlyItsServer()
     {
         for (const bool byList : { false, true }) {
-            Stage stage;
-            stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            TestEnvironment env;
+            env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
                 store.put(StoreKey("server/a"), "chat");
                 store.put(StoreKey("server/b"), "chat");
-                DaemonParts daemon(io, stage.clock, store, "d1");
+                DaemonParts daemon(io, env.clock, store, "d1");
                 daemon.sync.round(yield); // The start counts as the end of an outage.
                 store.put(StoreKey("server/a"), "damaged");
                 daemon.fleet.synced = !byList;
@@ -157,12 +157,12 @@
         }
     }
 
-    void restartBetweenTwoWatchesIsSeen()
+    void restartBetweenTwoWatchesIsDetected()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(StoreKey("server/a"), "chat 5");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("a@5")) != nullptr);
             store.put(StoreKey("server/a"), "chat 9");
@@ -176,15 +176,15 @@
         });
     }
 
-    void restartWhileTheStoreIsAwayIsSeen()
+    void restartDuringAStoreOutageIsDetected()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(StoreKey("server/a"), "chat 5");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.setDown(true);
-            stage.clock.advance(std::chrono::seconds(5));
+            env.clock.advance(std::chrono::seconds(5));
             daemon.sync.round(yield);
             store.setDown(false);
             store.erase(StoreKey("server/a")); // Lapsed in the outage: retained briefly.
@@ -199,23 +199,23 @@
 
     void watchProvesFreshnessOutageDoesNot()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(catalogKey, "1");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             for (int i = 0; i < 20; ++i) {
                 daemon.sync.round(yield);
-                CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(stage.clock.now()));
+                CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(env.clock.now()));
             }
             store.setDown(true);
-            stage.clock.advance(std::chrono::seconds(4));
+            env.clock.advance(std::chrono::seconds(4));
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(!daemon.fleet.storeReachable);
-            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(env.clock.now()));
             store.setDown(false);
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.storeReachable);
-            CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(env.clock.now()));
         });
     }
 
@@ -224,46 +224,46 @@
     // Daemons renewed their freshness proof with each part and batched for a second before the next
     // one: for 20 s after the start they used a configuration that had been replaced 4 s before,
     // and answered valid requests with 404.
-    void answersThatAreCutShortProveNothing()
+    void truncatedAnswersProveNoFreshness()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts daemon(io, stage.clock, store, "d1");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
-            const MonotonicTime proved = stage.clock.now();
+            const MonotonicTime provenAt = env.clock.now();
             for (const char *host : { "a", "b", "c", "d", "e" })
                 store.put(StoreKey(std::string("server/") + host), "chat");
             store.put(catalogKey, "7");
             store.limitWatches(2);
             for (int i = 0; i < 2; ++i) {
-                stage.clock.advance(std::chrono::seconds(1));
+                env.clock.advance(std::chrono::seconds(1));
                 daemon.sync.round(yield);
-                CPPUNIT_ASSERT(*daemon.dispatch.freshness.age(stage.clock.now())
-                               == stage.clock.now() - proved);
+                CPPUNIT_ASSERT(*daemon.dispatch.freshness.age(env.clock.now())
+                               == env.clock.now() - provenAt);
             }
             while (daemon.fleet.servers.servers().size() < 5 || !daemon.dispatch.catalog)
                 daemon.sync.round(yield);
-            CPPUNIT_ASSERT(daemon.dispatch.freshness.age(stage.clock.now()) == Duration::zero());
+            CPPUNIT_ASSERT(daemon.dispatch.freshness.age(env.clock.now()) == Duration::zero());
         });
     }
 
-    void manyChangesAreTakenInWithoutPauses()
+    void truncatedAnswersAreFollowedWithoutDelay()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            DaemonParts daemon(io, stage.clock, store, "d1");
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             constexpr int servers = 40;
             for (int i = 0; i < servers; ++i)
                 store.put(StoreKey("server/s" + std::to_string(i)), "chat");
             store.limitWatches(5);
-            const MonotonicTime start = stage.clock.now();
+            const MonotonicTime start = env.clock.now();
             while (daemon.fleet.servers.servers().size() < servers) {
                 daemon.sync.round(yield);
                 CPPUNIT_ASSERT(daemon.fleet.servers.servers().size() == servers
                                || daemon.sync.pauseAfterRound() == Duration::zero());
             }
-            CPPUNIT_ASSERT(stage.clock.now() == start);
+            CPPUNIT_ASSERT(env.clock.now() == start);
             daemon.sync.round(yield);
             store.put(StoreKey("server/late"), "chat");
             daemon.sync.round(yield);
@@ -271,15 +271,15 @@
         });
     }
 
-    void entriesThatLapsedInAnOutageAreKeptForAMoment()
+    void serversWithLapsedEntriesAreRetainedBriefly()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(StoreKey("server/back"), "chat");
             store.put(StoreKey("server/lost"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
-            stage.clock.advance(std::chrono::seconds(10));
+            env.clock.advance(std::chrono::seconds(10));
             store.setDown(true);
             daemon.sync.round(yield);
             store.erase(StoreKey("server/back"));
@@ -289,7 +289,7 @@
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("back")) != nullptr);
             store.put(StoreKey("server/back"), "chat");
             daemon.sync.round(yield);
-            stage.clock.advance(std::chrono::seconds(2));
+            env.clock.advance(std::chrono::seconds(2));
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("back")) != nullptr);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lost")) == nullptr);
@@ -301,21 +301,21 @@
     // The server departed without a notice in the meantime, and the daemon retained it, since its
     // entry might have lapsed in the outage. The grace period ended during a batching delay, but
     // was checked only with the next changes from the store; now a timer of its own checks it.
-    void keptServersAreGoneOnceTheDaemonIsInTouch()
+    void retainedServersExpireWithinTheConnectivityGrace()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreSyncOptions options = storeSyncOptions({});
             store.put(StoreKey("server/left"), "chat");
             store.put(StoreKey("server/stays"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
-            const MonotonicTime failedStart = playOutage(stage, store, daemon, yield);
+            const MonotonicTime lastCallAt = simulateOutage(env, store, daemon, yield);
             store.erase(StoreKey("server/left"));
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) != nullptr);
             const int changes = daemon.changes;
-            stage.clock.advance(failedStart + options.connectivityGrace - stage.clock.now());
+            env.clock.advance(lastCallAt + options.connectivityGrace - env.clock.now());
             daemon.sync.expireKept();
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) == nullptr);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("stays")) != nullptr);
@@ -324,24 +324,24 @@
     }
 
     // Live servers whose entries lapsed register again within two seconds after the outage.
-    void keptServersGetTheTimeToComeBack()
+    void retainedServersHaveTimeToRegisterAgain()
     {
         const StoreSyncOptions options;
-        const Duration answers = watchLateness + 2 * options.retry;
+        const Duration answers = watchLateness + 2 * options.retryDelay;
         CPPUNIT_ASSERT(options.returnGrace > std::chrono::seconds(2));
         PictureBounds bounds;
         bounds.serverHeartbeat = std::chrono::milliseconds(500);
-        CPPUNIT_ASSERT(storeSyncOptions(bounds).entriesStand == std::chrono::seconds(1));
+        CPPUNIT_ASSERT(storeSyncOptions(bounds).minLapseOutage == std::chrono::seconds(1));
         CPPUNIT_ASSERT(answers + std::chrono::seconds(2) < options.connectivityGrace);
     }
 
     // No entry lapses in a short outage: a missing one was removed by its server.
-    void nobodyIsKeptAfterAShortSilence()
+    void noServerIsRetainedAfterAShortOutage()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(StoreKey("server/left"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.silenceConnection();
             daemon.sync.round(yield);
@@ -355,17 +355,19 @@
 
     // A connection that stalls at the worst moment, at the beginning of a batching delay, must be
     // detected early enough to apply the changes made meanwhile within the bounds.
-    void silentConnectionIsNoticedInTime()
+    void stalledConnectionIsDetectedInTime()
     {
-        std::vector<PictureBounds> all;
-        for (const int inForce : { 1000, 2000, 3000, 5000 }) {
-            for (const int inTouch : { 2000, 3000, 4000, 6000 }) {
-                all.push_back({ Milliseconds(inForce), Milliseconds(inTouch), std::nullopt });
-                all.push_back({ Milliseconds(inForce), Milliseconds(inTouch), Milliseconds(4500) });
+        std::vector<PictureBounds> allBounds;
+        for (const int changeInForceMs : { 1000, 2000, 3000, 5000 }) {
+            for (const int graceMs : { 2000, 3000, 4000, 6000 }) {
+                allBounds.push_back(
+                    { Milliseconds(changeInForceMs), Milliseconds(graceMs), std::nullopt });
+                allBounds.push_back(
+                    { Milliseconds(changeInForceMs), Milliseconds(graceMs), Milliseconds(4500) });
             }
         }
-        for (const PictureBounds &bounds : all)
-            playSilentConnection(bounds);
+        for (const PictureBounds &bounds : allBounds)
+            checkStalledConnection(bounds);
     }
 
     // Guards against requests to a server more than two seconds after its departure, from a daemon
@@ -375,191 +377,191 @@
     // missing. After 2.8 s without an answer the entry may have lapsed, so the server is retained.
     // The grace period was counted from the beginning of the failed call, but the connection may
     // have stalled at any time since its last answer.
-    void nobodyIsKeptLongerAfterASilentConnection()
+    void stalledConnectionDoesNotExtendRetention()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreSyncOptions options = storeSyncOptions({});
             store.put(StoreKey("server/left"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            const MonotonicTime silentAt = stage.clock.now();
+            const MonotonicTime stalledAt = env.clock.now();
             store.silenceConnection();
-            stage.clock.advance(options.gather);
+            env.clock.advance(options.batchDelay);
             store.erase(StoreKey("server/left"));
             daemon.sync.round(yield);
-            stage.clock.advance(2 * options.retry);
+            env.clock.advance(2 * options.retryDelay);
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.storeReachable);
-            expectGoneBy(stage, daemon, silentAt + options.connectivityGrace);
+            expectRemovedBy(env, daemon, stalledAt + options.connectivityGrace);
         });
     }
 
     // After an outage the store rejects the first calls, since all daemons call at once. A
     // rejection is an answer too, so the daemon counts as connected from the first one on.
-    void nobodyIsKeptLongerByAStoreThatTurnsCallsAway()
+    void rejectedCallsAfterAnOutageDoNotExtendRetention()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreSyncOptions options = storeSyncOptions({});
             store.put(StoreKey("server/left"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            playOutage(stage, store, daemon, yield);
+            simulateOutage(env, store, daemon, yield);
             store.erase(StoreKey("server/left"));
-            const MonotonicTime backAt = stage.clock.now();
-            constexpr int turnedAway = 8;
-            store.turnAwayNext(turnedAway);
-            for (int i = 0; i < turnedAway; ++i) {
+            const MonotonicTime backAt = env.clock.now();
+            constexpr int rejectedCalls = 8;
+            store.turnAwayNext(rejectedCalls);
+            for (int i = 0; i < rejectedCalls; ++i) {
                 daemon.sync.round(yield);
-                stage.clock.advance(2 * options.retry);
+                env.clock.advance(2 * options.retryDelay);
             }
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.storeReachable);
-            expectGoneBy(stage, daemon, backAt + options.connectivityGrace);
+            expectRemovedBy(env, daemon, backAt + options.connectivityGrace);
         });
     }
 
     // The store is back only briefly, then unreachable again before servers whose entries lapsed
     // can register. Nothing can be learned of them, so they are retained as in one outage.
-    void keptServersStayWhileTheStoreIsAwayAgain()
+    void serversAreRetainedThroughASecondOutage()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreSyncOptions options = storeSyncOptions({});
             store.put(StoreKey("server/left"), "chat");
             store.put(StoreKey("server/lives"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            playOutage(stage, store, daemon, yield);
+            simulateOutage(env, store, daemon, yield);
             store.erase(StoreKey("server/left"));
             store.erase(StoreKey("server/lives"));
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.storeReachable);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
-            playOutage(stage, store, daemon, yield);
+            simulateOutage(env, store, daemon, yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
-            const MonotonicTime backAt = stage.clock.now();
+            const MonotonicTime backAt = env.clock.now();
             daemon.sync.round(yield);
-            stage.clock.advance(std::chrono::milliseconds(500));
+            env.clock.advance(std::chrono::milliseconds(500));
             daemon.sync.expireKept();
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
             store.put(StoreKey("server/lives"), "chat");
             daemon.sync.round(yield);
-            expectGoneBy(stage, daemon, backAt + options.connectivityGrace);
+            expectRemovedBy(env, daemon, backAt + options.connectivityGrace);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
         });
     }
 
     // The connection can't have stalled before the last answer on it.
-    void outageOfOneCallIsDatedByTheLastAnswer()
+    void outageOfOneCallBeginsAtTheLastAnswer()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             PictureBounds bounds;
             bounds.connectivityGrace = std::chrono::seconds(4);
             const StoreSyncOptions options = storeSyncOptions(bounds);
             store.put(StoreKey("server/lives"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            const MonotonicTime answeredAt = stage.clock.now();
+            const MonotonicTime answeredAt = env.clock.now();
             store.silenceConnection();
             daemon.sync.round(yield);
-            stage.clock.advance(2 * options.retry);
-            CPPUNIT_ASSERT(stage.clock.now() - answeredAt >= options.entriesStand);
+            env.clock.advance(2 * options.retryDelay);
+            CPPUNIT_ASSERT(env.clock.now() - answeredAt >= options.minLapseOutage);
             store.erase(StoreKey("server/lives"));
             daemon.sync.round(yield);
-            stage.clock.advance(options.gather / 2);
+            env.clock.advance(options.batchDelay / 2);
             daemon.sync.expireKept();
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
         });
     }
 
-    void nobodyIsKeptLongerThanServersTakeToComeBack()
+    void retentionEndsAfterTheReturnGrace()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             PictureBounds bounds;
             bounds.connectivityGrace = std::chrono::seconds(6);
             const StoreSyncOptions options = storeSyncOptions(bounds);
             store.put(StoreKey("server/left"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            playOutage(stage, store, daemon, yield);
+            simulateOutage(env, store, daemon, yield);
             store.erase(StoreKey("server/left"));
-            const MonotonicTime backAt = stage.clock.now();
+            const MonotonicTime backAt = env.clock.now();
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) != nullptr);
-            expectGoneBy(stage, daemon, backAt + options.returnGrace);
+            expectRemovedBy(env, daemon, backAt + options.returnGrace);
         });
     }
 
     // After the outage the store rejects a later call, since all daemons call at once. A rejection
     // is an answer too.
-    void keptServersAreNotKeptLongerByACallThatIsTurnedAway()
+    void laterRejectedCallDoesNotExtendRetention()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreSyncOptions options = storeSyncOptions({});
             store.put(StoreKey("server/left"), "chat");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            const MonotonicTime failedStart = playOutage(stage, store, daemon, yield);
+            const MonotonicTime lastCallAt = simulateOutage(env, store, daemon, yield);
             store.erase(StoreKey("server/left"));
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) != nullptr);
             store.turnAwayNext(1);
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(!daemon.fleet.storeReachable);
-            expectGoneBy(stage, daemon, failedStart + options.connectivityGrace);
+            expectRemovedBy(env, daemon, lastCallAt + options.connectivityGrace);
         });
     }
 
     // The store is unreachable for six calls of the daemon. Returns when the last of them began.
-    static MonotonicTime playOutage(Stage &stage, MemoryKeyValueStore &store, DaemonParts &daemon,
-                                    Yield yield)
+    static MonotonicTime simulateOutage(TestEnvironment &env, MemoryKeyValueStore &store,
+                                        DaemonParts &daemon, Yield yield)
     {
-        MonotonicTime failedStart;
+        MonotonicTime lastCallAt;
         store.setDown(true);
         for (int i = 0; i < 6; ++i) {
-            failedStart = stage.clock.now();
+            lastCallAt = env.clock.now();
             daemon.sync.round(yield);
-            stage.clock.advance(watchLateness + StoreSyncOptions().retry);
+            env.clock.advance(watchLateness + StoreSyncOptions().retryDelay);
             daemon.sync.expireKept();
         }
         store.setDown(false);
-        return failedStart;
+        return lastCallAt;
     }
 
     // A newer catalog that can't be decoded may revoke keys: the one in use is out of date.
-    void unreadableCatalogProvesNothing()
+    void unreadableCatalogProvesNoFreshness()
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             store.put(catalogKey, "1");
-            DaemonParts daemon(io, stage.clock, store, "d1");
+            DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
             store.put(catalogKey, "damaged");
             for (int i = 0; i < 6; ++i) {
                 daemon.sync.round(yield);
-                stage.clock.advance(std::chrono::seconds(1));
+                env.clock.advance(std::chrono::seconds(1));
             }
-            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(env.clock.now()));
             store.put(StoreKey("server/a"), "chat");
             store.forgetHistory();
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(!daemon.fleet.synced);
             daemon.sync.round(yield); // A list proves no more than a watch.
             CPPUNIT_ASSERT(daemon.fleet.synced);
-            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(env.clock.now()));
             store.put(catalogKey, "3");
             daemon.sync.round(yield);
-            CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(stage.clock.now()));
+            CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(env.clock.now()));
         });
     }
 
     // The answer to a watch may be delivered after this daemon's own, newer write.
-    void olderNewsDoesNotReplaceOwnWrites()
+    void olderWatchAnswerDoesNotReplaceOwnWrite()
     {
         ManualClock clock;
         IoContext io(1);
@@ -569,7 +571,7 @@
             daemon.sync.round(yield);
             store.put(FleetKeys::orders(), "of the last planner");
             const Revision before = store.list(FleetKeys::orders(), yield).value().upTo;
-            store.meanwhile = [&](Yield inner) {
+            store.duringWatch = [&](Yield inner) {
                 const auto written =
                     store.commit({ { FleetKeys::orders(), "own", before } }, inner);
                 daemon.fleet.ownKeys[FleetKeys::orders()] = { "own", written.value() };
@@ -612,47 +614,47 @@
 
     // The catalog's freshness proof must be renewed in time: while nothing changes, it dates from
     // the beginning of the previous watch.
-    void gatheringFitsTheBounds()
+    void batchingFitsTheBounds()
     {
         const Duration proofLasts = std::chrono::milliseconds(4500);
         for (const Duration bound : { std::chrono::seconds(1), std::chrono::seconds(2),
                                       std::chrono::seconds(3), std::chrono::seconds(10) }) {
             const StoreSyncOptions options =
                 storeSyncOptions({ bound, std::chrono::seconds(3), proofLasts });
-            CPPUNIT_ASSERT(options.gather < bound);
-            CPPUNIT_ASSERT(options.gather + 2 * options.watchWait < proofLasts);
+            CPPUNIT_ASSERT(options.batchDelay < bound);
+            CPPUNIT_ASSERT(options.batchDelay + 2 * options.watchWait < proofLasts);
         }
         // Without a proof to renew, a watch must still end in time to detect a stalled connection.
         const StoreSyncOptions options = storeSyncOptions({});
-        CPPUNIT_ASSERT(options.gather + options.watchWait + watchLateness
+        CPPUNIT_ASSERT(options.batchDelay + options.watchWait + watchLateness
                        < options.connectivityGrace);
     }
 
 private:
-    void playSilentConnection(const PictureBounds &bounds)
+    void checkStalledConnection(const PictureBounds &bounds)
     {
-        Stage stage;
-        stage.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
+        TestEnvironment env;
+        env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             const StoreSyncOptions options = storeSyncOptions(bounds);
             store.put(catalogKey, "1");
-            DaemonParts daemon(io, stage.clock, store, "d1", options);
+            DaemonParts daemon(io, env.clock, store, "d1", options);
             daemon.sync.round(yield);
-            const MonotonicTime silentAt = stage.clock.now();
+            const MonotonicTime stalledAt = env.clock.now();
             store.silenceConnection();
-            stage.clock.advance(options.gather);
+            env.clock.advance(options.batchDelay);
             store.put(catalogKey, "2");
             daemon.sync.round(yield);
-            stage.clock.advance(2 * options.retry);
+            env.clock.advance(2 * options.retryDelay);
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.dispatch.catalog->version() == CatalogVersion(2));
-            CPPUNIT_ASSERT(stage.clock.now() - silentAt < bounds.connectivityGrace);
+            CPPUNIT_ASSERT(env.clock.now() - stalledAt < bounds.connectivityGrace);
         });
     }
 
-    void expectGoneBy(Stage &stage, DaemonParts &daemon, MonotonicTime end)
+    void expectRemovedBy(TestEnvironment &env, DaemonParts &daemon, MonotonicTime end)
     {
-        CPPUNIT_ASSERT(stage.clock.now() < end);
-        stage.clock.advance(end - stage.clock.now());
+        CPPUNIT_ASSERT(env.clock.now() < end);
+        env.clock.advance(end - env.clock.now());
         daemon.sync.expireKept();
         CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) == nullptr);
     }
