--- a/ramphinge/dispatch/dispatcher.cpp
+++ b/ramphinge/dispatch/dispatcher.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "ramphinge/base/process_marks.h"
-#include "ramphinge/dispatch/internal/run.h"
+#include "ramphinge/dispatch/internal/proxied_request.h"
 
 namespace ramphinge {
 
--- a/ramphinge/dispatch/internal/whole_run.cpp
+++ b/ramphinge/dispatch/internal/buffered_request.cpp
@@ -1,8 +1,8 @@
-// Requests with whole answers: see run.h.
+// Requests with whole answers: see proxied_request.h.
 
 #include <algorithm>
 
-#include "ramphinge/dispatch/internal/run.h"
+#include "ramphinge/dispatch/internal/proxied_request.h"
 
 namespace ramphinge {
 
--- a/ramphinge/dispatch/internal/run.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -1,6 +1,6 @@
-// What whole and streamed requests have in common: see run.h.
+// What whole and streamed requests have in common: see proxied_request.h.
 
-#include "ramphinge/dispatch/internal/run.h"
+#include "ramphinge/dispatch/internal/proxied_request.h"
 
 #include <algorithm>
 #include <exception>
--- a/ramphinge/dispatch/internal/stream_run.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -1,4 +1,4 @@
-// Requests with streamed answers: see run.h.
+// Requests with streamed answers: see proxied_request.h.
 
 #include <algorithm>
 #include <exception>
@@ -6,7 +6,7 @@
 
 #include "ramphinge/base/erase_if.h"
 #include "ramphinge/dispatch/event_stream.h"
-#include "ramphinge/dispatch/internal/run.h"
+#include "ramphinge/dispatch/internal/proxied_request.h"
 
 namespace ramphinge {
 
