--- a/ramphinge/dispatch/admission.cpp
+++ b/ramphinge/dispatch/admission.cpp
@@ -1,4 +1,4 @@
-// Admission of requests: see admission.h.
+// Request admission: see admission.h.
 
 #include "ramphinge/dispatch/admission.h"
 
@@ -10,17 +10,18 @@
 
 namespace {
 
-// The same request id always goes to the same service.
+// Picks a service by weight, from a hash of the request id, so that every attempt of one request
+// goes to the same service.
 ServiceId pickService(const RouteEntry &route, const RequestId &request)
 {
-    double sum = 0;
+    double totalWeight = 0;
     for (const WeightedTarget &target : route.targets)
-        sum += target.weight;
+        totalWeight += target.weight;
     constexpr double hashRange = 18446744073709551616.0; // 2^64
-    double at = static_cast<double>(stableHash(request.text())) / hashRange * sum;
+    double point = static_cast<double>(stableHash(request.text())) / hashRange * totalWeight;
     for (const WeightedTarget &target : route.targets) {
-        at -= target.weight;
-        if (at < 0)
+        point -= target.weight;
+        if (point < 0)
             return target.service;
     }
     return route.targets.empty() ? ServiceId() : route.targets.back().service;
@@ -41,7 +42,8 @@
     if (state.catalog->asksForKeys() && !admitted.route->isPublic) {
         if (request.key)
             admitted.account = state.catalog->findAccount(*request.key);
-        // A key that is unknown here may be a new one if this daemon has been cut off.
+        // Checked before the key is rejected: a key that is missing from a stale catalog may have
+        // been added since.
         if (!state.freshness.holds(now))
             return RefusalReason::StaleCatalog;
         if (admitted.account == nullptr)
--- a/ramphinge/dispatch/admission.h
+++ b/ramphinge/dispatch/admission.h
@@ -1,5 +1,5 @@
-// Decides whether a request may be served at all: its route, its key, and whether this daemon may
-// still vouch for the key. Pure.
+// Request admission: finds the route, authenticates the key, and checks that the catalog is fresh
+// enough to trust the key. A pure function of its arguments.
 
 #pragma once
 
@@ -10,14 +10,14 @@
 
 namespace ramphinge {
 
-// A request that may be served. The pointers live as long as `catalog`.
+// A request that may be served. `route` and `account` point into `catalog`.
 struct AdmittedRequest
 {
     CatalogPointer catalog;
     const RouteEntry *route = nullptr;
     const AccountEntry *account = nullptr; // Null on public routes.
-    ServiceId service; // The target that the route's weights picked.
-    MonotonicTime deadline; // Of the caller or the route, whichever is sooner.
+    ServiceId service; // Chosen among the route's weighted targets.
+    MonotonicTime deadline; // The caller's or the route's, whichever is sooner.
 
     int priority() const
     {
@@ -25,6 +25,7 @@
     }
 };
 
+// Returns the reason if the request has to be refused.
 std::variant<AdmittedRequest, RefusalReason>
 admit(const DispatchState &state, const IncomingRequest &request, MonotonicTime now);
 
