--- a/ramphinge/dispatch/crash_watch.cpp
+++ b/ramphinge/dispatch/crash_watch.cpp
@@ -1,4 +1,4 @@
-// Ends of servers under requests: see crash_watch.h.
+// Detection of servers that terminate while they run a request: see crash_watch.h.
 
 #include "ramphinge/dispatch/crash_watch.h"
 
@@ -14,24 +14,25 @@
 
 namespace {
 
-// Servers whose ends are remembered, so that nobody asks for them twice; beyond it they are.
-constexpr std::size_t mostChecks = 256;
+// Beyond this many entries the terminated servers are dropped from the cache, and may be probed
+// again.
+constexpr std::size_t maxChecks = 256;
 
 } // namespace
 
-// Of one life of a server.
-struct CrashWatch::Check
+// The probe of one incarnation of a server.
+struct CrashWatch::LivenessCheck
 {
-    Check(IoContext &io, MonotonicTime now) : begunAt(now), known(io) { }
+    LivenessCheck(IoContext &io, MonotonicTime now) : startedAt(now), decided(io) { }
 
-    MonotonicTime begunAt;
-    std::optional<ProbeVerdict> verdict; // Nothing while the server is being asked.
-    std::vector<SuspectRequest> waiting; // Until it is done.
-    Signal known;
+    MonotonicTime startedAt;
+    std::optional<ProbeVerdict> verdict; // Empty while the probe is in progress.
+    std::vector<SuspectRequest> pendingRequests; // Cleared once the verdict is known.
+    Signal decided;
 };
 
-// A request whose connection ended at a server that could not be asked.
-struct CrashWatch::OpenQuestion
+// A request whose connection ended at a server that could not be probed.
+struct CrashWatch::UnresolvedRequest
 {
     SuspectRequest request;
     Target target;
@@ -47,39 +48,41 @@
     Quarantine &quarantine;
     DecisionLog &log;
     Metrics &metrics;
-    std::map<HostId, std::shared_ptr<Check>> checks; // Under way, or of servers that have ended.
-    std::vector<OpenQuestion> open; // Bounded by the time that one stays.
+    // In progress, or of servers that have terminated.
+    std::map<HostId, std::shared_ptr<LivenessCheck>> livenessChecks;
+    std::vector<UnresolvedRequest> unresolved; // Bounded by `departureTimeout`.
 
-    void note(const SuspectRequest &request, const Target &target)
+    void recordCrash(const SuspectRequest &request, const Target &target)
     {
-        const bool heldNow = quarantine.noteEnd(request, target.host, clock.now(), clock.wallNow());
+        const bool newlyQuarantined =
+            quarantine.noteEnd(request, target.host, clock.now(), clock.wallNow());
         log.write("server_ended_under_request", LogWeight::Failure,
                   { { "fingerprint", request.fingerprint.text() },
                     { "account", request.account.text() },
                     { "route", request.route },
                     { "host", target.host.text() },
                     { "replica", target.replica.text() },
-                    { "quarantined_by_it", heldNow } });
+                    { "quarantined_by_it", newlyQuarantined } });
     }
 
-    void finish(Check &check, const Target &target, ProbeVerdict verdict)
+    void finish(LivenessCheck &check, const Target &target, ProbeVerdict verdict)
     {
         check.verdict = verdict;
         if (verdict == ProbeVerdict::Ended)
             metrics.count(MetricName("servers_ended_under_requests_total"));
         else
-            checks.erase(target.host); // The next connection that ends there asks anew.
-        for (const SuspectRequest &request : std::exchange(check.waiting, {}))
-            conclude(request, target, verdict);
-        check.known.notify();
+            livenessChecks.erase(target.host); // The next lost connection starts a new probe.
+        for (const SuspectRequest &request : std::exchange(check.pendingRequests, {}))
+            applyVerdict(request, target, verdict);
+        check.decided.notify();
     }
 
-    void conclude(const SuspectRequest &request, const Target &target, ProbeVerdict verdict)
+    void applyVerdict(const SuspectRequest &request, const Target &target, ProbeVerdict verdict)
     {
         if (verdict == ProbeVerdict::Ended)
-            note(request, target);
+            recordCrash(request, target);
         else if (verdict == ProbeVerdict::Unknown)
-            open.push_back({ request, target, clock.now() });
+            unresolved.push_back({ request, target, clock.now() });
     }
 };
 
@@ -89,18 +92,19 @@
     : m_state(new State { io, clock, options, probe, quarantine, log, metrics, {}, {} })
 { }
 
-std::shared_ptr<CrashWatch::Check> CrashWatch::begin(const Target &target)
+std::shared_ptr<CrashWatch::LivenessCheck> CrashWatch::startCheck(const Target &target)
 {
-    if (m_state->checks.size() >= mostChecks)
-        eraseIf(m_state->checks,
+    if (m_state->livenessChecks.size() >= maxChecks)
+        eraseIf(m_state->livenessChecks,
                 [](const auto &entry) { return entry.second->verdict.has_value(); });
-    auto check = std::make_shared<Check>(m_state->io, m_state->clock.now());
-    m_state->checks[target.host] = check;
+    auto check = std::make_shared<LivenessCheck>(m_state->io, m_state->clock.now());
+    m_state->livenessChecks[target.host] = check;
     spawnCoroutine(m_state->io, [state = m_state, check, target](Yield yield) {
         ProbeVerdict verdict = ProbeVerdict::Unknown;
         try {
             verdict = state->probe.probe(target.address(), state->options.timeout, yield);
-        } catch (const std::exception &e) { // As for want of memory. Whoever waits is told.
+        } catch (const std::exception
+                     &e) { // Such as std::bad_alloc; waiting requests still get a verdict.
             state->log.write("probe_failed_inside", LogWeight::Failure,
                              { { "host", target.host.text() }, { "why", e.what() } });
         }
@@ -110,29 +114,29 @@
 }
 
 void CrashWatch::connectionEnded(const SuspectRequest &request, const Target &target,
-                                 MonotonicTime sentAt, Duration patience, Yield yield)
+                                 MonotonicTime sentAt, Duration maxWait, Yield yield)
 {
-    const auto found = m_state->checks.find(target.host);
-    const std::shared_ptr<Check> check =
-        found == m_state->checks.end() ? begin(target) : found->second;
-    if (sentAt > check->begunAt)
+    const auto found = m_state->livenessChecks.find(target.host);
+    const std::shared_ptr<LivenessCheck> check =
+        found == m_state->livenessChecks.end() ? startCheck(target) : found->second;
+    if (sentAt > check->startedAt)
         return;
     if (check->verdict) {
-        m_state->conclude(request, target, *check->verdict);
+        m_state->applyVerdict(request, target, *check->verdict);
         return;
     }
-    check->waiting.push_back(request);
-    check->known.wait(patience, yield);
+    check->pendingRequests.push_back(request);
+    check->decided.wait(maxWait, yield);
 }
 
-void CrashWatch::serversChanged(const std::function<bool(const HostId &)> &isThere)
+void CrashWatch::serversChanged(const std::function<bool(const HostId &)> &isPresent)
 {
-    std::vector<OpenQuestion> open = std::exchange(m_state->open, {});
-    for (OpenQuestion &question : open) {
-        if (!isThere(question.target.host))
-            m_state->note(question.request, question.target);
-        else if (m_state->clock.now() - question.since < m_state->options.goesWithin)
-            m_state->open.push_back(std::move(question));
+    std::vector<UnresolvedRequest> unresolved = std::exchange(m_state->unresolved, {});
+    for (UnresolvedRequest &pending : unresolved) {
+        if (!isPresent(pending.target.host))
+            m_state->recordCrash(pending.request, pending.target);
+        else if (m_state->clock.now() - pending.since < m_state->options.departureTimeout)
+            m_state->unresolved.push_back(std::move(pending));
     }
 }
 
--- a/ramphinge/dispatch/crash_watch.h
+++ b/ramphinge/dispatch/crash_watch.h
@@ -1,15 +1,17 @@
-// Tells a server that ended under a request from a connection that was merely cut.
+// Tells a server process that terminated while it ran a request from a connection that merely
+// broke.
 //
-// Both look alike to the request: its connection ends before the answer is whole. So the server is
-// asked at once. One that answers has lost a connection, which says nothing against the request;
-// where nobody listens any more it has ended, and each request that it had is suspected. Without
-// the question, lost answers and reset connections would count as ends, and hold back requests that
-// did nothing. A server that can't be asked, as one that is full resets new connections, has ended
-// if it goes from the picture of the fleet soon after.
+// A request sees the same in both cases: its connection ends before the response is complete. So
+// the server is probed at once. If it responds, only the connection was lost, which is no evidence
+// against the request. If nothing listens at its address any more, the process has terminated and
+// every request that it was running is suspected. Without the probe, lost responses and reset
+// connections would count as terminations and quarantine harmless requests. A server that can't be
+// probed (an overloaded one resets new connections) counts as terminated if it leaves the fleet
+// view soon after.
 //
-// One question serves all requests that were cut off at a server at the same time. One that was
-// sent only after that had nothing to do with the end: where something before the server still
-// accepts connections, there are many of these.
+// One probe serves all requests that lost their connection to a server at the same time. A request
+// that was sent after the probe began can't have caused the termination; there are many of these
+// where a proxy in front of the server still accepts connections.
 
 #pragma once
 
@@ -26,37 +28,39 @@
 
 struct CrashWatchOptions
 {
-    // A live server answers within a few milliseconds, and a busy daemon hears it up to 300 ms
-    // later; one that has ended refuses the connection at once.
+    // Of one probe. A live server responds within a few milliseconds, which a busy daemon processes
+    // up to 300 ms later; a terminated one refuses the connection at once.
     Duration timeout = std::chrono::milliseconds(400);
-    // How long a server that could not be asked may take to go from the picture: its entry lapses
-    // after three heartbeats of 1.2 s, and the news of it come within 2.6 s.
-    Duration goesWithin = std::chrono::seconds(7);
+    // A server that could not be probed counts as terminated if it leaves the fleet view within
+    // this time: its entry expires after three heartbeats of 1.2 s, and daemons learn of that
+    // within another 2.6 s.
+    Duration departureTimeout = std::chrono::seconds(7);
 };
 
-// Lives on the event loop. What it begins refers to the constructor's arguments, and not to the
-// object itself.
+// Not thread-safe: used on the event loop only. Its coroutines refer to the constructor's
+// arguments, not to the object, which may be destroyed while they run.
 class CrashWatch
 {
 public:
     CrashWatch(IoContext &io, const Clock &clock, CrashWatchOptions options, ServerProbe &probe,
                Quarantine &quarantine, DecisionLog &log, Metrics &metrics);
 
-    // The connection to the server ended under the request, which was sent at `sentAt`. Returns
-    // when it is known what that means and the quarantine has been told, or after `patience`; the
-    // caller may have gone by then.
+    // Reports that the connection to the server ended before the response to the request, which was
+    // sent at `sentAt`, was complete. Returns once the probe has finished and the quarantine has
+    // been updated, or after `maxWait`; the caller may have disconnected by then.
     void connectionEnded(const SuspectRequest &request, const Target &target, MonotonicTime sentAt,
-                         Duration patience, Yield yield);
+                         Duration maxWait, Yield yield);
 
-    // The picture of the fleet is another. `isThere` says whether a life of a server is in it.
-    void serversChanged(const std::function<bool(const HostId &)> &isThere);
+    // To be called when the fleet view has changed. `isPresent` tells whether an incarnation of a
+    // server is in it.
+    void serversChanged(const std::function<bool(const HostId &)> &isPresent);
 
 private:
-    struct Check;
-    struct OpenQuestion;
+    struct LivenessCheck;
+    struct UnresolvedRequest;
     struct State;
 
-    std::shared_ptr<Check> begin(const Target &target);
+    std::shared_ptr<LivenessCheck> startCheck(const Target &target);
 
     std::shared_ptr<State> m_state;
 };
