--- a/ramphinge/dispatch/demand_meter.h
+++ b/ramphinge/dispatch/demand_meter.h
@@ -1,9 +1,9 @@
-// How much work the callers ask of each model.
+// Estimates the load that callers put on each model.
 //
-// What one daemon sees is a sample, and a small one where there are many daemons: of 24 requests a
-// second for a model, one of 71 sees one in three seconds. So what the others see counts too, where
-// they tell it. Counted in server time by the engine's formula, so that shares of it are shares of
-// the servers. Old work fades.
+// One daemon sees only a sample of the requests, and a small one where there are many daemons: of
+// 24 requests a second for a model, each of 71 daemons sees one in three seconds. So the estimate
+// includes what the other daemons report. Load is measured in server time by the engine's cost
+// model, so that a share of the load is a share of the servers. It decays exponentially.
 
 #pragma once
 
@@ -16,33 +16,35 @@
 
 namespace ramphinge {
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class DemandMeter
 {
 public:
     explicit DemandMeter(Duration halfLife) : m_halfLife(halfLife) { }
 
+    // Counts one request of `prompt` and at most `answer` tokens. Models that the engine does not
+    // have are ignored.
     void add(const EngineProfile &engine, const ModelId &model, Tokens prompt, Tokens answer,
              MonotonicTime now);
 
-    // What this daemon saw, as of `now`.
+    // The load that this daemon saw, decayed to `now`.
     WorkByModel own(MonotonicTime now) const;
 
-    // What the other daemons saw, all told, as of `now`; takes the place of what was told before.
+    // Sets the sum of the load that the other daemons saw, as of `now`; replaces the previous sum.
     void setOthers(const WorkByModel &work, MonotonicTime now);
 
-    // The model's share of the work of `engine`'s models, between what the operators expect and
-    // what was seen: the more was seen, the more it counts.
+    // The model's share of the load of `engine`'s models: a weighted mean of the configured and the
+    // observed share. The more requests were observed, the more the observed share counts.
     double shareOf(const EngineProfile &engine, const ModelId &model, MonotonicTime now) const;
 
-    // How many of `servers` the work of `engine`'s models keeps busy: near to all of them as long
-    // as little was seen. Where nothing is known of the others, each of `daemons` is taken to see
-    // as much as this one.
+    // How many of `servers` the load of `engine`'s models keeps busy: close to all of them while
+    // few requests were observed. Without reports of other daemons, each of `daemons` is assumed to
+    // see as much as this one.
     double busyServers(const EngineProfile &engine, int servers, int daemons,
                        MonotonicTime now) const;
 
-    // The requests a second that a whole replica of the model can take, by the mean of those that
-    // were seen; nothing if none were.
+    // The rate of requests that one replica of the model can serve, by the mean cost of the
+    // observed ones; nothing if none were observed.
     std::optional<RequestRate> rateOfReplica(const EngineProfile &engine, const ModelId &model,
                                              MonotonicTime now) const;
 
@@ -53,14 +55,14 @@
         MonotonicTime at;
     };
 
-    static ModelWork faded(const Entry &entry, Duration halfLife, MonotonicTime now);
-    ModelWork ownOf(const ModelId &model, MonotonicTime now) const;
-    ModelWork allOf(const ModelId &model, MonotonicTime now) const;
-    ModelWork sumOf(const EngineProfile &engine, MonotonicTime now) const;
+    static ModelWork decayed(const Entry &entry, Duration halfLife, MonotonicTime now);
+    ModelWork ownWork(const ModelId &model, MonotonicTime now) const;
+    ModelWork totalWork(const ModelId &model, MonotonicTime now) const;
+    ModelWork engineWork(const EngineProfile &engine, MonotonicTime now) const;
 
     Duration m_halfLife;
-    std::map<ModelId, Entry> m_entries;
-    std::map<ModelId, Entry> m_others; // As last told; empty if never.
+    std::map<ModelId, Entry> m_ownWork;
+    std::map<ModelId, Entry> m_othersWork; // As last reported; empty if never.
 };
 
 } // namespace ramphinge
