--- a/ramphinge/dispatch/event_stream.cpp
+++ b/ramphinge/dispatch/event_stream.cpp
@@ -1,4 +1,4 @@
-// Whole events of a stream: see event_stream.h.
+// Parser of server-sent events: see event_stream.h.
 
 #include "ramphinge/dispatch/event_stream.h"
 
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr std::string_view idField = "id:";
+constexpr std::string_view idFieldName = "id:";
 
-// Where an event that begins at 0 ends, blank line included; npos if it is not whole.
+// Offset after the event that starts at 0, including its blank line; npos if it is incomplete.
+// The search starts at `from`.
 std::size_t eventEnd(const std::string &buffer, std::size_t from)
 {
     for (std::size_t at = buffer.find('\n', from); at != std::string::npos;
@@ -23,16 +24,16 @@
     return std::string::npos;
 }
 
-EventId idOf(std::string_view event)
+EventId parseId(std::string_view event)
 {
     std::size_t begin = 0;
     while (begin < event.size()) {
         const std::size_t end = std::min(event.find('\n', begin), event.size());
         std::string_view line = event.substr(begin, end - begin);
         begin = end + 1;
-        if (line.substr(0, idField.size()) != idField)
+        if (line.substr(0, idFieldName.size()) != idFieldName)
             continue;
-        line.remove_prefix(idField.size());
+        line.remove_prefix(idFieldName.size());
         while (!line.empty() && line.front() == ' ')
             line.remove_prefix(1);
         while (!line.empty() && line.back() == '\r')
@@ -42,7 +43,7 @@
     return {};
 }
 
-std::optional<std::int64_t> numberOf(const EventId &id)
+std::optional<std::int64_t> parseNumber(const EventId &id)
 {
     const std::string &text = id.text();
     std::int64_t number = 0;
@@ -56,30 +57,30 @@
 
 std::optional<StreamEvent> EventStreamReader::next()
 {
-    const std::size_t end = eventEnd(m_buffer, m_searched);
+    const std::size_t end = eventEnd(m_buffer, m_searchFrom);
     if (end == std::string::npos) {
-        // The end may straddle the pieces: look at the last two bytes again.
-        m_searched = m_buffer.size() < 2 ? 0 : m_buffer.size() - 2;
+        // The terminator may be split between two pieces, so the last two bytes are searched again.
+        m_searchFrom = m_buffer.size() < 2 ? 0 : m_buffer.size() - 2;
         return std::nullopt;
     }
     StreamEvent event { m_buffer.substr(0, end), {} };
-    event.id = idOf(event.text);
+    event.id = parseId(event.text);
     m_buffer.erase(0, end);
-    m_searched = 0;
+    m_searchFrom = 0;
     return event;
 }
 
 bool followsInOrder(const EventId &last, const EventId &id)
 {
-    const std::optional<std::int64_t> before = numberOf(last);
-    const std::optional<std::int64_t> now = numberOf(id);
+    const std::optional<std::int64_t> before = parseNumber(last);
+    const std::optional<std::int64_t> now = parseNumber(id);
     return !before || !now || *now == *before + 1;
 }
 
 bool alreadyDelivered(const EventId &last, const EventId &id)
 {
-    const std::optional<std::int64_t> before = numberOf(last);
-    const std::optional<std::int64_t> now = numberOf(id);
+    const std::optional<std::int64_t> before = parseNumber(last);
+    const std::optional<std::int64_t> now = parseNumber(id);
     return before && now && *now <= *before;
 }
 
--- a/ramphinge/dispatch/event_stream.h
+++ b/ramphinge/dispatch/event_stream.h
@@ -1,5 +1,5 @@
-// Cuts a stream of server-sent events into whole events, so that a stream which breaks off in the
-// middle of one can go on at another upstream without a torn or doubled event.
+// Splits a stream of server-sent events into complete events, so that a stream which breaks off
+// within an event can resume at another upstream without a truncated or duplicate event.
 //
 //   reader.feed(piece);
 //   while (auto event = reader.next()) relay(event->text);
@@ -19,28 +19,28 @@
     EventId id; // Empty if it has none.
 };
 
-// Not thread-safe; one for each upstream's answer.
+// Not thread-safe. Each upstream response needs a reader of its own.
 class EventStreamReader
 {
 public:
     void feed(std::string_view piece) { m_buffer.append(piece); }
 
-    // The next whole event, or nothing until more is fed.
+    // The next complete event; nothing if more input is needed.
     std::optional<StreamEvent> next();
 
-    // Bytes that are no whole event yet.
+    // Number of buffered bytes that don't form a complete event yet.
     std::size_t rest() const { return m_buffer.size(); }
 
 private:
-    std::string m_buffer; // Invariant: holds no whole event after next() returned nothing.
-    std::size_t m_searched = 0; // No event ends before this.
+    std::string m_buffer; // Invariant: has no complete event after next() returned nothing.
+    std::size_t m_searchFrom = 0; // No event ends before this.
 };
 
-// Whether `id` comes right after `last`, for ids that are numbers; true if either is no number or
-// nothing came before.
+// Whether numeric `id` is the direct successor of numeric `last`; also true if either is not a
+// number or `last` is empty.
 bool followsInOrder(const EventId &last, const EventId &id);
 
-// True if both are numbers and `id` is not beyond `last`.
+// True if both ids are numeric and `id` is not greater than `last`.
 bool alreadyDelivered(const EventId &last, const EventId &id);
 
 } // namespace ramphinge
