--- a/ramphinge/dispatch/placing.cpp
+++ b/ramphinge/dispatch/placing.cpp
@@ -1,4 +1,4 @@
-// Places by their room: see placing.h.
+// Weighted random choice by free slots: see placing.h.
 
 #include "ramphinge/dispatch/placing.h"
 
@@ -8,25 +8,25 @@
 
 namespace {
 
-double roomOf(const PlaceRoom &place)
+double freeSlots(const PlaceRoom &place)
 {
     return std::max(0.0, place.slots - place.running);
 }
 
-// What a free place of another zone counts, against one of the own zone.
-double weightOfFar(const std::vector<PlaceRoom> &places, const PlacingOptions &options)
+// Weight of a free slot in another zone, relative to one in the local zone.
+double remoteZoneWeight(const std::vector<PlaceRoom> &places, const PlacingOptions &options)
 {
     double slots = 0;
-    double room = 0;
+    double available = 0;
     for (const PlaceRoom &place : places) {
-        if (!place.isNear)
+        if (!place.isLocalZone)
             continue;
         slots += place.slots;
-        room += roomOf(place);
+        available += freeSlots(place);
     }
     if (slots <= 0)
         return 1;
-    return std::clamp(1 - room / slots / options.freeNearEnough, 0.0, 1.0);
+    return std::clamp(1 - available / slots / options.localFreeShareThreshold, 0.0, 1.0);
 }
 
 } // namespace
@@ -34,23 +34,23 @@
 std::optional<std::size_t> drawPlace(const std::vector<PlaceRoom> &places,
                                      const PlacingOptions &options, Random &random)
 {
-    const double far = weightOfFar(places, options);
+    const double remoteWeight = remoteZoneWeight(places, options);
     std::vector<double> weights;
     double total = 0;
-    bool hasRoom = false;
+    bool hasFreeSlot = false;
     for (const PlaceRoom &place : places) {
-        const double room = roomOf(place);
-        const double zone = place.isNear ? 1 : far;
-        hasRoom = hasRoom || (room >= 1 && zone > 0);
-        weights.push_back(std::max(room, options.leastRoom) * zone);
+        const double available = freeSlots(place);
+        const double zoneWeight = place.isLocalZone ? 1 : remoteWeight;
+        hasFreeSlot = hasFreeSlot || (available >= 1 && zoneWeight > 0);
+        weights.push_back(std::max(available, options.minFreeSlotsWeight) * zoneWeight);
         total += weights.back();
     }
-    if (!hasRoom)
+    if (!hasFreeSlot)
         return std::nullopt;
-    double drawn = random.fraction() * total;
+    double remaining = random.fraction() * total;
     for (std::size_t i = 0; i < weights.size(); ++i) {
-        drawn -= weights[i];
-        if (drawn < 0)
+        remaining -= weights[i];
+        if (remaining < 0)
             return i;
     }
     return weights.size() - 1;
--- a/ramphinge/dispatch/placing.h
+++ b/ramphinge/dispatch/placing.h
@@ -1,12 +1,12 @@
-// Chooses among places of one model by the room that they have, where the load of all daemons is
-// known, though a moment old.
+// Chooses among the targets of one model at random, weighted by their free slots, where the load of
+// all daemons is known with a short delay.
 //
-// The load it answers: hundreds of daemons send to the same hundred replicas, and each has three
-// requests under way. By its own requests alone a daemon chooses blindly: some replicas get twice
-// what they have places for while others are half empty. And choosing the emptiest place by a
-// picture that all have in common sends everybody there at once. So a place is drawn with a chance
-// in proportion to its free places: then none is expected to get more than it can take, however old
-// the picture is.
+// Hundreds of daemons send to the same hundred replicas, and each has three requests in flight. A
+// daemon that knows its own requests only balances badly: some replicas get twice as many requests
+// as they have slots, while others are half idle. If all daemons chose the least loaded target from
+// the same snapshot, they would all overload that one. So a target is drawn with a probability
+// proportional to its free slots: then no target is expected to get more than it can run, however
+// old the snapshot is.
 //
 // Pure: no clock, no network.
 
@@ -21,22 +21,22 @@
 
 struct PlaceRoom
 {
-    double slots = 1; // Requests that run there at once.
-    double running = 0; // Of all daemons, as far as is known.
-    bool isNear = false; // In the daemon's own zone.
+    double slots = 1; // Requests that the target runs at once.
+    double running = 0; // Requests of all daemons, as far as is known.
+    bool isLocalZone = false; // Whether it is in the daemon's own zone.
 };
 
 struct PlacingOptions
 {
-    // Places of other zones are drawn too as soon as a smaller part of the own zone's is free, the
-    // more the less is free. Bytes between zones are paid for, and take 3 ms longer both ways; a
-    // request that waits for a place waits 100 ms and more.
-    double freeNearEnough = 0.4;
-    // What a full place still counts as, in free places: the picture may be wrong.
-    double leastRoom = 0.05;
+    // Targets of other zones are drawn too once a smaller share than this of the local zone's slots
+    // is free, with a weight that rises as fewer are free. Traffic between zones costs money and
+    // 3 ms more a round trip; a request that waits for a slot waits 100 ms or more.
+    double localFreeShareThreshold = 0.4;
+    // Weight of a full target, in free slots: the load that it is judged by may be outdated.
+    double minFreeSlotsWeight = 0.05;
 };
 
-// Index of the drawn place; nothing if no place has room.
+// Draws a target and returns its index; nothing if no target has a free slot.
 std::optional<std::size_t> drawPlace(const std::vector<PlaceRoom> &places,
                                      const PlacingOptions &options, Random &random);
 
