--- a/ramphinge/dispatch/requests.cpp
+++ b/ramphinge/dispatch/requests.cpp
@@ -1,4 +1,4 @@
-// Refusals of the request path: see requests.h.
+// Error responses of the request path: see requests.h.
 
 #include "ramphinge/dispatch/requests.h"
 
@@ -58,7 +58,7 @@
     return { "upstream_failed", 502, "every attempt failed" };
 }
 
-std::string seconds(Duration duration)
+std::string formatSeconds(Duration duration)
 {
     std::array<char, 32> text {};
     std::snprintf(text.data(), text.size(), "%.3f", toMilliseconds(duration) / 1000);
@@ -79,7 +79,7 @@
                                   { { "type", text.name }, { "message", text.message } } } };
     HttpResponse response = jsonResponse(text.status, body.dump());
     if (retryAfter)
-        response.headers.add("Retry-After", seconds(*retryAfter));
+        response.headers.add("Retry-After", formatSeconds(*retryAfter));
     return response;
 }
 
--- a/ramphinge/dispatch/requests.h
+++ b/ramphinge/dispatch/requests.h
@@ -1,4 +1,4 @@
-// Requests and answers as the request path knows them, whatever the wire calls their parts.
+// Requests and responses as the request path sees them, independent of the wire format.
 
 #pragma once
 
@@ -12,70 +12,70 @@
 
 namespace ramphinge {
 
-using EventId = Id<struct EventIdTag>; // Of one event in a stream of events.
+using EventId = Id<struct EventIdTag>; // Of one server-sent event in a stream.
 
-// One attempt of a caller, decoded.
+// One attempt of a caller, decoded from the wire format.
 struct IncomingRequest
 {
     RequestId request;
     std::string host;
     std::string path;
-    std::optional<std::string> key; // The client account's secret; never passed on.
+    std::optional<std::string> key; // The client account's secret; never sent to an upstream.
     ModelId model; // Empty for plain services.
     Tokens promptTokens;
     Tokens maxAnswerTokens;
-    std::optional<Duration> patience; // How long the caller will wait, from its sending.
-    EventId resumeAfter; // The last event that the caller already has; empty for none.
+    std::optional<Duration> patience; // The caller's timeout, from its sending.
+    EventId resumeAfter; // The last event that the caller has received; empty for none.
     HttpRequest message; // As received.
 };
 
-// What one upstream is sent.
+// A request as it is sent to one upstream.
 struct OutgoingRequest
 {
     const IncomingRequest &incoming;
     AccountId account; // Empty on public routes.
-    HostId expectedHost; // No other server may run it.
-    Duration timeLeft {};
-    EventId resumeAfter; // Empty: from the beginning.
-    int priority = 5; // 0 is first.
+    HostId expectedHost; // No other server, nor another incarnation of it, may execute it.
+    Duration timeLeft {}; // Until its deadline.
+    EventId resumeAfter; // The stream starts after this event; empty: at the beginning.
+    int priority = 5; // 0 is the highest.
 };
 
-// The head of an upstream's answer.
+// Status and headers of an upstream's response.
 struct AnswerHead
 {
     int status = 0;
-    bool notExecuted = false; // The server promises that the request has not run there.
-    bool authentic = false; // Carries the server's proof that it is a whole answer of its own.
-    bool decoded = false; // The body has been transformed on the way: not the server's bytes.
-    ServerName faultyServer; // The server that a refusal is about; empty if it says nothing.
-    HttpHeaders headers; // For the caller: without those of one connection.
+    bool notExecuted = false; // The server guarantees that it has not executed the request.
+    bool authentic = false; // Carries the server's proof that it is a complete response of its own.
+    bool decoded = false; // An intermediary changed the body: it is not what the server sent.
+    ServerName faultyServer; // The server that caused a refusal; empty if none is named.
+    HttpHeaders headers; // For the caller, without the hop-by-hop headers.
 };
 
-// Why the request path ends a request itself.
+// Why the request path ends a request with an error of its own.
 enum class RefusalReason {
     UnknownRoute,
     UnknownKey,
     Malformed,
-    NoCatalog, // This daemon knows no configuration yet.
-    StaleCatalog, // It can't prove that the caller's key is still valid.
-    NoUpstream, // Nothing can serve it now; nothing has run.
-    Overloaded, // It could not be served in time; nothing has run.
-    OutcomeUnknown, // Sent, and may have run; it may not be repeated.
+    NoCatalog, // This daemon has no catalog yet.
+    StaleCatalog, // This daemon can't prove that the caller's key is still valid.
+    NoUpstream, // No upstream can serve it now; not executed.
+    Overloaded, // It could not be served in time; not executed.
+    OutcomeUnknown, // It was sent and may have been executed, and must not be retried.
     UpstreamFailed, // Every permitted attempt failed.
     DeadlineExceeded,
-    RateLimited, // Its servers accept no more now; nothing was sent.
-    BackingOff, // Its servers have asked for nothing for a while; nothing was sent.
-    Quarantined, // Servers ended under the same request before; this attempt was not sent.
-    InternalError, // This daemon failed on it before anything was sent.
+    RateLimited, // Its servers are at their rate limits; not sent.
+    BackingOff, // Its servers have asked for a pause; not sent.
+    Quarantined, // Servers have terminated while they ran the same request; this one was not sent.
+    InternalError, // This daemon failed before it sent anything.
 };
 
 const char *toString(RefusalReason reason);
 
-// The answer that the request path gives itself. `retryAfter` goes with reasons that promise that
-// nothing has run.
+// The error response for `reason`. `retryAfter` is only for reasons which guarantee that the
+// request was not executed.
 HttpResponse refusalAnswer(RefusalReason reason, std::optional<Duration> retryAfter);
 
-// Translates between the wire and the types above. Implementations decide nothing.
+// Translates between the wire format and the types above. Implementations make no decisions.
 class RequestCodec
 {
 public:
@@ -86,7 +86,7 @@
     virtual HttpRequest encode(const OutgoingRequest &request) const = 0;
     virtual AnswerHead decodeAnswer(int status, const HttpHeaders &headers) const = 0;
 
-    // Whether an answer's head belongs to the request. One that names no request does.
+    // Whether a response with these headers belongs to the request; true if they name none.
     virtual bool answers(const HttpHeaders &headers, const RequestId &request) const = 0;
 };
 
