--- a/ramphinge/dispatch/server_probe.h
+++ b/ramphinge/dispatch/server_probe.h
@@ -1,4 +1,4 @@
-// Asks a server whether it is still there.
+// Interface for checking whether a server process is alive.
 
 #pragma once
 
@@ -9,10 +9,10 @@
 namespace ramphinge {
 
 enum class ProbeVerdict {
-    Lives, // It answered.
-    Ended, // Nobody listens at its address, or another server or a later life of it does.
-    // No connection, or none that lasted for an answer: it may be cut off, or turn connections
-    // away.
+    Lives, // It responded.
+    Ended, // Nothing listens at its address, or another server or a later incarnation does.
+    // The connection failed, or broke before a response: the server may be unreachable, or reset
+    // new connections.
     Unknown,
 };
 
@@ -21,7 +21,7 @@
 public:
     virtual ~ServerProbe() = default;
 
-    // What became of that life of a server, known within `timeout`.
+    // Probes that incarnation of a server; returns within `timeout`.
     virtual ProbeVerdict probe(const ServerAddress &server, Duration timeout, Yield yield) = 0;
 };
 
--- a/ramphinge/dispatch/statement_decoder.h
+++ b/ramphinge/dispatch/statement_decoder.h
@@ -1,4 +1,5 @@
-// Reads what a server says of itself out of an answer's head.
+// Interface for reading a server's statement about itself (rate limit, backoff, shutdown) from a
+// response's head.
 
 #pragma once
 
@@ -12,8 +13,8 @@
 public:
     virtual ~StatementDecoder() = default;
 
-    // Of an answer to a request that named the life of the server it was sent to. `now` turns
-    // points in time into spans.
+    // Decodes the head of a response to a request that named the server's incarnation. `now`
+    // converts points in time to durations.
     virtual ServerStatement decode(int status, const HttpHeaders &headers, WallTime now) const = 0;
 };
 
--- a/ramphinge/dispatch/trial_granter.h
+++ b/ramphinge/dispatch/trial_granter.h
@@ -1,4 +1,5 @@
-// Lets a request that is held back be sent once more, to find out whether it is harmful at all.
+// Interface for granting a quarantined request a trial: it is sent to one server to find out
+// whether it crashes servers at all.
 
 #pragma once
 
@@ -12,7 +13,8 @@
 public:
     virtual ~TrialGranter() = default;
 
-    // True if the caller, and nobody else at any daemon, may send the request to one server now.
+    // True if the calling coroutine may send the request to one server now. No other caller at any
+    // daemon is granted the same trial.
     virtual bool grantTrial(const RequestFingerprint &fingerprint, Yield yield) = 0;
 };
 
