--- a/ramphinge/dispatch/stall_policy.cpp
+++ b/ramphinge/dispatch/stall_policy.cpp
@@ -1,4 +1,4 @@
-// Streams that stand still: see stall_policy.h.
+// Detection of stalled streams: see stall_policy.h.
 
 #include "ramphinge/dispatch/stall_policy.h"
 
@@ -8,14 +8,14 @@
 
 bool standsStill(const StreamObservation &stream, const StallOptions &options)
 {
-    const bool othersMove = stream.othersUnderWay && stream.quiet <= stream.standstill;
+    const bool othersProgress = stream.othersUnderWay && stream.quiet <= stream.standstill;
     if (!stream.begun) {
         if (stream.othersUnderWay)
-            return !othersMove && stream.waited > stream.standstill;
+            return !othersProgress && stream.waited > stream.standstill;
         return stream.waited > std::max(scaled(stream.expected, options.expectedFactor),
                                         scaled(stream.objective, options.objectiveFactor));
     }
-    const double factor = othersMove ? options.pauseFactorIfOthersMove : options.pauseFactor;
+    const double factor = othersProgress ? options.pauseFactorIfOthersMove : options.pauseFactor;
     return stream.waited > scaled(stream.pauseObjective, factor);
 }
 
--- a/ramphinge/dispatch/stall_policy.h
+++ b/ramphinge/dispatch/stall_policy.h
@@ -1,8 +1,8 @@
-// Decides when a stream is taken to stand still, so that another replica is asked to go on with it.
+// Decides when a stream counts as stalled, so that another replica is asked to continue it.
 //
-// A replica whose member is lost accepts requests and moves nothing, for seconds. A replica that is
-// merely busy also keeps a stream waiting; leaving that one would lose its place and add load where
-// there is too much already. What tells them apart is whether anything else comes from the replica.
+// A replica that has lost a member accepts requests for seconds without making progress. A busy
+// replica also delays its streams, but moving one of them would give up its slot there and add load
+// to an overloaded fleet. The two are told apart by whether the replica's other streams progress.
 
 #pragma once
 
@@ -12,29 +12,30 @@
 
 struct StallOptions
 {
-    // Without other streams to judge by: times the expected time, and times the objective,
-    // whichever is longer.
+    // A stream without a first event, at a replica without other streams, is stalled after this
+    // many times its expected time or this many times the objective, whichever is longer.
     double expectedFactor = 3;
     double objectiveFactor = 1;
-    // For a stream that has begun another replica is asked after this many times the pause that the
-    // operators allow. Not as soon as the replica seems to stand still: the stream is late by then
-    // anyway, and a replica that is only slow would end it without reading the prompt elsewhere.
+    // A stream that has begun is stalled after this many times the configured pause objective. That
+    // is later than the replica itself counts as stalled: the stream has missed its objective by
+    // then anyway, and a replica that is only slow would finish it without a second prefill.
     double pauseFactor = 3;
-    // ... or after so many if the replica serves others meanwhile: it may have been put back.
+    // The same while other streams at the replica progress: this one may just be scheduled behind
+    // them.
     double pauseFactorIfOthersMove = 8;
 };
 
-// One stream, at one moment.
+// Snapshot of one stream.
 struct StreamObservation
 {
-    bool begun = false; // Its first event has come.
-    Duration waited {}; // Since it was sent, or since its last event.
+    bool begun = false; // Its first event has arrived.
+    Duration waited {}; // Since the request was sent, or since its last event.
     Duration expected {}; // Until the first event, as predicted when it was sent.
     Duration objective {}; // For the first event.
     Duration pauseObjective {}; // Between two events.
     bool othersUnderWay = false; // Other streams of this daemon have begun at the replica.
-    Duration quiet {}; // Since anything came from the replica.
-    Duration standstill {}; // The replica is taken for dead after so long a quiet.
+    Duration quiet {}; // Since anything arrived from the replica.
+    Duration standstill {}; // The replica counts as stalled once `quiet` is longer.
 };
 
 bool standsStill(const StreamObservation &stream, const StallOptions &options);
