--- a/ramphinge/dispatch/suspicions.cpp
+++ b/ramphinge/dispatch/suspicions.cpp
@@ -1,4 +1,4 @@
-// Replicas that seem to have lost a member: see suspicions.h.
+// Replicas suspected of having lost a member: see suspicions.h.
 
 #include "ramphinge/dispatch/suspicions.h"
 
@@ -12,7 +12,7 @@
 {
     if (replica.empty())
         return;
-    eraseIf(m_notedAt, [&](const auto &entry) { return now - entry.second >= m_again; });
+    eraseIf(m_notedAt, [&](const auto &entry) { return now - entry.second >= m_repeatInterval; });
     if (m_notedAt.emplace(replica, now).second)
         m_pending.push_back(replica);
 }
--- a/ramphinge/dispatch/suspicions.h
+++ b/ramphinge/dispatch/suspicions.h
@@ -1,5 +1,5 @@
-// Replicas that stood still or were not reachable when this daemon sent them a request. The planner
-// is told, so that it looks after a lost member seconds before the member's entry lapses.
+// Collects the replicas that stalled or were unreachable when this daemon sent them a request. They
+// are reported to the planner, which so detects a lost member seconds before its entry expires.
 
 #pragma once
 
@@ -11,21 +11,21 @@
 
 namespace ramphinge {
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class Suspicions
 {
 public:
-    // `again`: how long a replica that was noted is not noted anew, while the planner looks.
-    explicit Suspicions(Duration again) : m_again(again) { }
+    // A replica is reported at most once per `repeatInterval`: the planner needs time to check it.
+    explicit Suspicions(Duration repeatInterval) : m_repeatInterval(repeatInterval) { }
 
     void note(const ReplicaId &replica, MonotonicTime now);
 
-    // What was noted since the last call.
+    // The replicas to report since the last call.
     std::vector<ReplicaId> take();
 
 private:
-    Duration m_again;
-    std::map<ReplicaId, MonotonicTime> m_notedAt; // Within `m_again`; others are dropped.
+    Duration m_repeatInterval;
+    std::map<ReplicaId, MonotonicTime> m_notedAt; // Older ones than m_repeatInterval are dropped.
     std::vector<ReplicaId> m_pending;
 };
 
