--- a/ramphinge/dispatch/target_table.cpp
+++ b/ramphinge/dispatch/target_table.cpp
@@ -1,4 +1,4 @@
-// Places for requests: see target_table.h.
+// Targets for requests: see target_table.h.
 
 #include "ramphinge/dispatch/target_table.h"
 
@@ -12,24 +12,26 @@
 
 namespace {
 
-// Weight of the newest observation.
+// Weights of the newest observation in exponential moving averages.
 constexpr double smoothing = 0.3;
-constexpr double meanSmoothing = 0.05;
-// First guess of what a first event takes beyond the formula.
-constexpr double firstOverheadMilliseconds = 80;
-// First guess of a plain service's time, until one was seen.
-constexpr double firstPlainMilliseconds = 20;
-// Bounds what one late first event teaches: it may have waited for something else.
-constexpr double largestDifference = 150;
-constexpr double fastest = 0.5; // Bounds on how far off a place may be remembered to be.
-constexpr double slowest = 20;
-constexpr double leastSuccess = 0.05;
-// Spreads the choice among places that look alike.
-constexpr double jitter = 0.15;
-// What a pass brings to several streams arrives closer together than that.
-constexpr double samePassMilliseconds = 10;
-// A place without room: each request beyond the slots counts this many milliseconds.
-constexpr double queuedMilliseconds = 60;
+constexpr double slowSmoothing = 0.05;
+// Overhead of a model's first events beyond the cost model, until one was observed.
+constexpr double initialOverheadMilliseconds = 80;
+// Response time of a plain service, until one was observed.
+constexpr double initialPlainMilliseconds = 20;
+// Upper bound on how far one slow first event counts towards the overhead's average: it may have
+// waited for something else.
+constexpr double maxOverheadChangeMilliseconds = 150;
+// Bounds of TargetStats::slowness, and of TargetStats::success in scores.
+constexpr double minSlowness = 0.5;
+constexpr double maxSlowness = 20;
+constexpr double minSuccess = 0.05;
+// Random share added to scores, to spread requests over targets with similar scores.
+constexpr double scoreJitter = 0.15;
+// Data that arrives at shorter intervals comes from one engine pass, for several streams.
+constexpr double minPassIntervalMilliseconds = 10;
+// Time added for each request in excess of a target's slots.
+constexpr double queuedRequestMilliseconds = 60;
 
 } // namespace
 
@@ -49,46 +51,46 @@
     }
     for (const auto &[host, server] : fleet.servers()) {
         if (m_engines.count(server.service) == 0)
-            addPlain(server);
+            addPlainServer(server);
     }
     addReplicas(fleet, plan, catalog);
     for (const auto &[host, target] : before) {
-        const auto record = m_records.find(host);
-        if (record == m_records.end())
+        const auto stats = m_stats.find(host);
+        if (stats == m_stats.end())
             continue;
         const auto present = m_targets.find(host);
-        if (present == m_targets.end() && record->second.inFlight == 0)
-            m_records.erase(record);
+        if (present == m_targets.end() && stats->second.inFlight == 0)
+            m_stats.erase(stats);
         else if (present != m_targets.end() && present->second.replica != target.replica)
-            forgetLearned(record->second);
+            resetAverages(stats->second);
     }
-    noteDropped(fleet);
+    collectRemovedEndpoints(fleet);
 }
 
-// Keeps what is under way there.
-void TargetTable::forgetLearned(Record &record)
+// The counts of requests in flight are kept.
+void TargetTable::resetAverages(TargetStats &stats)
 {
-    const Record fresh;
-    record.slowness = fresh.slowness;
-    record.success = fresh.success;
-    record.pause = fresh.pause;
-    record.avoidUntil = fresh.avoidUntil;
-    record.avoidance = fresh.avoidance;
+    const TargetStats defaults;
+    stats.slowness = defaults.slowness;
+    stats.success = defaults.success;
+    stats.passIntervalMilliseconds = defaults.passIntervalMilliseconds;
+    stats.avoidUntil = defaults.avoidUntil;
+    stats.avoidDuration = defaults.avoidDuration;
 }
 
-void TargetTable::noteDropped(const FleetView &fleet)
+void TargetTable::collectRemovedEndpoints(const FleetView &fleet)
 {
     for (const auto &[host, target] : m_targets)
-        m_used[host] = target.endpoint;
-    eraseIf(m_used, [&](const auto &entry) {
+        m_usedServers[host] = target.endpoint;
+    eraseIf(m_usedServers, [&](const auto &entry) {
         const bool isGone = fleet.find(entry.first) == nullptr;
         if (isGone)
-            m_dropped.push_back(entry.second);
+            m_removedEndpoints.push_back(entry.second);
         return isGone;
     });
 }
 
-void TargetTable::addPlain(const UpstreamServer &server)
+void TargetTable::addPlainServer(const UpstreamServer &server)
 {
     if (server.draining)
         return;
@@ -124,51 +126,53 @@
 
 void TargetTable::setOthersLoad(const PlaceLoads &loads, MonotonicTime now)
 {
-    m_others.clear();
+    m_othersLoad.clear();
     for (const PlaceLoad &load : loads)
-        m_others[load.host] = load;
-    m_othersAt = now;
+        m_othersLoad[load.host] = load;
+    m_othersLoadAt = now;
 }
 
 PlaceLoads TargetTable::ownLoad() const
 {
     PlaceLoads loads;
-    for (const auto &[host, record] : m_records) {
-        // Late ones wait for all others, also for those of other daemons: counted, they would make
-        // every later request late as well.
-        const int inTime = record.inFlight - record.lateWaiting;
+    for (const auto &[host, stats] : m_stats) {
+        // Late requests that wait are left out: they yield to all others, also of other daemons. If
+        // they counted as load, every later request would be predicted to be late as well.
+        const int inTime = stats.inFlight - stats.lateWaiting;
         if (inTime > 0)
-            loads.push_back({ host, inTime, record.pendingPrompt });
+            loads.push_back({ host, inTime, stats.pendingPrompt });
     }
     return loads;
 }
 
-bool TargetTable::knowsOthers(MonotonicTime now) const
+bool TargetTable::hasRecentOthersLoad(MonotonicTime now) const
 {
-    return m_othersAt && now - *m_othersAt < m_options.othersLoadLasts;
+    return m_othersLoadAt && now - *m_othersLoadAt < m_options.othersLoadLasts;
 }
 
-double TargetTable::runningAt(const Target &target, const Record &record, MonotonicTime now) const
+double TargetTable::runningAt(const Target &target, const TargetStats &stats,
+                              MonotonicTime now) const
 {
-    const double own = record.inFlight - record.lateWaiting;
-    if (knowsOthers(now)) {
-        const auto others = m_others.find(target.host);
-        return own + (others == m_others.end() ? 0 : others->second.running);
+    const double own = stats.inFlight - stats.lateWaiting;
+    if (hasRecentOthersLoad(now)) {
+        const auto others = m_othersLoad.find(target.host);
+        return own + (others == m_othersLoad.end() ? 0 : others->second.running);
     }
     const double sharers = target.zone == m_options.ownZone ? m_sharers : m_sharers * 2;
     return own * sharers;
 }
 
-double TargetTable::formulaMilliseconds(const Target &target, const Record &record, Tokens prompt,
-                                        MonotonicTime now) const
+double TargetTable::predictedMilliseconds(const Target &target, const TargetStats &stats,
+                                          Tokens prompt, MonotonicTime now) const
 {
-    const double running = runningAt(target, record, now);
-    const double beyond = std::max(0.0, running - target.slots);
+    const double running = runningAt(target, stats, now);
+    const double queued = std::max(0.0, running - target.slots);
     const auto found = m_engines.find(target.service);
     if (found == m_engines.end()) {
-        const auto mean = m_plainMean.find(target.service);
-        const double usual = mean == m_plainMean.end() ? firstPlainMilliseconds : mean->second;
-        return usual * (1 + 0.5 * running / target.slots) + queuedMilliseconds * beyond;
+        const auto mean = m_plainMeanMilliseconds.find(target.service);
+        const double usual =
+            mean == m_plainMeanMilliseconds.end() ? initialPlainMilliseconds : mean->second;
+        return usual * (1 + 0.5 * running / target.slots) + queuedRequestMilliseconds * queued;
     }
     const EngineProfile &engine = found->second;
     const ModelProfile *model = engine.find(target.model);
@@ -179,35 +183,38 @@
     const double step =
         engine.stepMilliseconds + perRequest * std::min(running, static_cast<double>(target.slots));
     const auto own = static_cast<double>(prompt.count());
-    const auto others = m_others.find(target.host);
-    const bool othersWait = knowsOthers(now) && others != m_others.end();
-    const double tokens = own + static_cast<double>(record.pendingPrompt)
+    const auto others = m_othersLoad.find(target.host);
+    const bool othersWait = hasRecentOthersLoad(now) && others != m_othersLoad.end();
+    const double tokens = own + static_cast<double>(stats.pendingPrompt)
         + (othersWait ? static_cast<double>(others->second.waitingPrompt) : 0);
-    const double reading = tokens / engine.prefillTokensPerSecond * 1000
+    const double prefill = tokens / engine.prefillTokensPerSecond * 1000
         + engine.pairMillisecondsPerMillion * own * own / 2 / 1e6;
-    // The pass under way ends on average after half of its time; the first token takes another.
+    // The current pass takes half of its time more on average; the first token takes another pass.
     const double passes = running > 0 ? 1.5 : 1;
-    const auto overhead = m_overhead.find(target.model);
-    return pace * (step * engine.stepsPerPass * passes + reading) + queuedMilliseconds * beyond
-        + (overhead == m_overhead.end() ? firstOverheadMilliseconds : overhead->second);
+    const auto overhead = m_overheadMilliseconds.find(target.model);
+    return pace * (step * engine.stepsPerPass * passes + prefill)
+        + queuedRequestMilliseconds * queued
+        + (overhead == m_overheadMilliseconds.end() ? initialOverheadMilliseconds
+                                                    : overhead->second);
 }
 
-double TargetTable::faded(double value, const Record &record, MonotonicTime now) const
+double TargetTable::decayed(double value, const TargetStats &stats, MonotonicTime now) const
 {
-    const double halves = toMilliseconds(now - record.judgedAt) / toMilliseconds(m_options.memory);
-    return 1 + (value - 1) * std::exp2(-std::max(0.0, halves));
+    const double halfLives =
+        toMilliseconds(now - stats.averagedAt) / toMilliseconds(m_options.averageHalfLife);
+    return 1 + (value - 1) * std::exp2(-std::max(0.0, halfLives));
 }
 
 double TargetTable::score(const Target &target, Tokens prompt, MonotonicTime now) const
 {
-    const auto found = m_records.find(target.host);
-    const Record record = found == m_records.end() ? Record() : found->second;
-    const double success = std::max(leastSuccess, faded(record.success, record, now));
-    const double away =
+    const auto found = m_stats.find(target.host);
+    const TargetStats stats = found == m_stats.end() ? TargetStats() : found->second;
+    const double success = std::max(minSuccess, decayed(stats.success, stats, now));
+    const double zonePenaltyMilliseconds =
         target.zone == m_options.ownZone ? 0 : toMilliseconds(m_options.zonePenalty);
-    return formulaMilliseconds(target, record, prompt, now) * faded(record.slowness, record, now)
+    return predictedMilliseconds(target, stats, prompt, now) * decayed(stats.slowness, stats, now)
         / (success * success)
-        + away;
+        + zonePenaltyMilliseconds;
 }
 
 bool TargetTable::isCandidate(const Target &target, const TargetQuery &query, MonotonicTime now)
@@ -227,24 +234,24 @@
     return hosts;
 }
 
-// The better of two places that were drawn: what the picture doesn't tell, such as a replica that
-// was slow to this daemon, counts between them.
-const Target *TargetTable::chooseByRoom(const TargetQuery &query, MonotonicTime now)
+// Compares the scores of two drawn targets, since scores include what the reported load doesn't
+// show, such as a replica that was slow for this daemon.
+const Target *TargetTable::chooseByFreeSlots(const TargetQuery &query, MonotonicTime now)
 {
     std::vector<const Target *> candidates;
-    std::vector<PlaceRoom> rooms;
+    std::vector<PlaceRoom> capacities;
     for (const auto &[host, target] : m_targets) {
         if (!isCandidate(target, query, now))
             continue;
-        const Record &record = m_records[host];
-        if (record.avoidUntil > now || standsStill(record, now))
+        const TargetStats &stats = m_stats[host];
+        if (stats.avoidUntil > now || standsStill(stats, now))
             continue;
         candidates.push_back(&target);
-        rooms.push_back({ static_cast<double>(target.slots), runningAt(target, record, now),
-                          target.zone == m_options.ownZone });
+        capacities.push_back({ static_cast<double>(target.slots), runningAt(target, stats, now),
+                               target.zone == m_options.ownZone });
     }
-    const auto first = drawPlace(rooms, m_options.placing, m_random);
-    const auto second = drawPlace(rooms, m_options.placing, m_random);
+    const auto first = drawPlace(capacities, m_options.placing, m_random);
+    const auto second = drawPlace(capacities, m_options.placing, m_random);
     if (!first || !second)
         return nullptr;
     const double firstScore = score(*candidates[*first], query.promptTokens, now);
@@ -254,22 +261,22 @@
 
 const Target *TargetTable::choose(const TargetQuery &query, MonotonicTime now)
 {
-    if (!query.model.empty() && knowsOthers(now)) {
-        if (const Target *drawn = chooseByRoom(query, now))
+    if (!query.model.empty() && hasRecentOthersLoad(now)) {
+        if (const Target *drawn = chooseByFreeSlots(query, now))
             return drawn;
     }
     const Target *best = nullptr;
-    // The best is to be avoided for the shortest time, if at all; then it answers the soonest. So
-    // one that is to be avoided is better than none.
+    // Prefers targets that are not avoided, then those avoided for the shortest time, then the
+    // lowest score. An avoided target is better than none.
     std::tuple<bool, MonotonicTime, double> bestRank;
     for (const auto &[host, target] : m_targets) {
         if (!isCandidate(target, query, now))
             continue;
-        const Record &record = m_records[host];
-        const MonotonicTime avoidUntil = std::max(record.avoidUntil, now);
-        const bool isAvoided = avoidUntil > now || standsStill(record, now);
+        const TargetStats &stats = m_stats[host];
+        const MonotonicTime avoidUntil = std::max(stats.avoidUntil, now);
+        const bool isAvoided = avoidUntil > now || standsStill(stats, now);
         const double own =
-            score(target, query.promptTokens, now) * (1 + jitter * m_random.fraction());
+            score(target, query.promptTokens, now) * (1 + scoreJitter * m_random.fraction());
         const auto rank = std::make_tuple(isAvoided, avoidUntil, own);
         if (best == nullptr || rank < bestRank) {
             best = &target;
@@ -284,175 +291,184 @@
     const auto target = m_targets.find(host);
     if (target == m_targets.end())
         return {};
-    const auto found = m_records.find(host);
-    const Record record = found == m_records.end() ? Record() : found->second;
-    const double milliseconds = formulaMilliseconds(target->second, record, prompt, now)
-        * std::max(1.0, faded(record.slowness, record, now));
+    const auto found = m_stats.find(host);
+    const TargetStats stats = found == m_stats.end() ? TargetStats() : found->second;
+    const double milliseconds = predictedMilliseconds(target->second, stats, prompt, now)
+        * std::max(1.0, decayed(stats.slowness, stats, now));
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(milliseconds));
 }
 
-bool TargetTable::standsStill(const Record &record, MonotonicTime now) const
+bool TargetTable::standsStill(const TargetStats &stats, MonotonicTime now) const
 {
-    return record.begun > 0 && now - record.progressAt > standstillOf(record);
+    return stats.begun > 0 && now - stats.progressAt > standstillOf(stats);
 }
 
-Duration TargetTable::standstillOf(const Record &record) const
+Duration TargetTable::standstillOf(const TargetStats &stats) const
 {
-    if (record.pause <= 0)
-        return m_options.longestStandstill;
-    const Duration usual = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double, std::milli>(record.pause * m_options.standstillPauses));
-    return std::clamp(usual, m_options.shortestStandstill, m_options.longestStandstill);
+    if (stats.passIntervalMilliseconds <= 0)
+        return m_options.maxStallTimeout;
+    const Duration usual =
+        std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(
+            stats.passIntervalMilliseconds * m_options.stallIntervals));
+    return std::clamp(usual, m_options.minStallTimeout, m_options.maxStallTimeout);
 }
 
 Duration TargetTable::standstillOf(const HostId &host) const
 {
-    const auto found = m_records.find(host);
-    return standstillOf(found == m_records.end() ? Record() : found->second);
+    const auto found = m_stats.find(host);
+    return standstillOf(found == m_stats.end() ? TargetStats() : found->second);
 }
 
 void TargetTable::sent(const HostId &host, Tokens prompt, Urgency urgency)
 {
-    Record &record = m_records[host];
-    ++record.inFlight;
-    wait(record, prompt, urgency, 1);
+    TargetStats &stats = m_stats[host];
+    ++stats.inFlight;
+    adjustWaiting(stats, prompt, urgency, 1);
 }
 
-// Counts a request that waits for its first event, or no longer does.
-void TargetTable::wait(Record &record, Tokens prompt, Urgency urgency, int change)
+// Adds a request that waits for its first event (`change` 1) or removes it (-1).
+void TargetTable::adjustWaiting(TargetStats &stats, Tokens prompt, Urgency urgency, int change)
 {
     if (urgency == Urgency::Late)
-        record.lateWaiting += change;
+        stats.lateWaiting += change;
     else
-        record.pendingPrompt += change * prompt.count();
+        stats.pendingPrompt += change * prompt.count();
 }
 
-void TargetTable::judge(Record &record, double slowness, double success, MonotonicTime now)
+void TargetTable::updateAverages(TargetStats &stats, double slowness, double success,
+                                 MonotonicTime now)
 {
-    record.slowness = faded(record.slowness, record, now);
-    record.success = faded(record.success, record, now);
-    record.slowness += smoothing * (slowness - record.slowness);
-    record.success += smoothing * (success - record.success);
-    record.judgedAt = now;
+    stats.slowness = decayed(stats.slowness, stats, now);
+    stats.success = decayed(stats.success, stats, now);
+    stats.slowness += smoothing * (slowness - stats.slowness);
+    stats.success += smoothing * (success - stats.success);
+    stats.averagedAt = now;
 }
 
 void TargetTable::began(const HostId &host, Tokens prompt, Duration took, Duration expected,
                         MonotonicTime now, Urgency urgency)
 {
-    Record &record = m_records[host];
-    wait(record, prompt, urgency, -1);
-    record.progressAt = now;
-    ++record.begun;
+    TargetStats &stats = m_stats[host];
+    adjustWaiting(stats, prompt, urgency, -1);
+    stats.progressAt = now;
+    ++stats.begun;
     if (urgency == Urgency::Late)
         return;
     const auto target = m_targets.find(host);
     if (target != m_targets.end() && target->second.model.empty()) {
         double &mean =
-            m_plainMean.emplace(target->second.service, firstPlainMilliseconds).first->second;
-        mean += meanSmoothing * (toMilliseconds(took) - mean);
+            m_plainMeanMilliseconds.emplace(target->second.service, initialPlainMilliseconds)
+                .first->second;
+        mean += slowSmoothing * (toMilliseconds(took) - mean);
     }
     if (target != m_targets.end() && !target->second.model.empty()) {
         double &overhead =
-            m_overhead.emplace(target->second.model, firstOverheadMilliseconds).first->second;
+            m_overheadMilliseconds.emplace(target->second.model, initialOverheadMilliseconds)
+                .first->second;
         const double difference = toMilliseconds(took) - toMilliseconds(expected);
         overhead = std::max(
-            0.0, overhead + meanSmoothing * std::clamp(difference, -overhead, largestDifference));
+            0.0,
+            overhead
+                + slowSmoothing * std::clamp(difference, -overhead, maxOverheadChangeMilliseconds));
     }
     const double ratio = toMilliseconds(took) / std::max(1.0, toMilliseconds(expected));
-    judge(record, std::clamp(ratio, fastest, slowest), faded(record.success, record, now), now);
+    updateAverages(stats, std::clamp(ratio, minSlowness, maxSlowness),
+                   decayed(stats.success, stats, now), now);
 }
 
 void TargetTable::ended(const HostId &host, Tokens prompt, bool hadBegun, Urgency urgency)
 {
-    Record &record = m_records[host];
-    --record.inFlight;
+    TargetStats &stats = m_stats[host];
+    --stats.inFlight;
     if (hadBegun)
-        --record.begun;
+        --stats.begun;
     else
-        wait(record, prompt, urgency, -1);
-    if (record.inFlight == 0 && m_targets.count(host) == 0)
-        m_records.erase(host);
+        adjustWaiting(stats, prompt, urgency, -1);
+    if (stats.inFlight == 0 && m_targets.count(host) == 0)
+        m_stats.erase(host);
 }
 
-// The last request to a place may tell of it after its account there is closed: then the record
-// that went with that is not made anew.
-TargetTable::Record *TargetTable::recordToNote(const HostId &host)
+// A result of the last request to a former target may be reported after ended(), which removed the
+// statistics; they must not be created again.
+TargetTable::TargetStats *TargetTable::statsToUpdate(const HostId &host)
 {
-    const bool isKept = m_targets.count(host) > 0 || m_records.count(host) > 0;
-    return isKept ? &m_records[host] : nullptr;
+    const bool isKept = m_targets.count(host) > 0 || m_stats.count(host) > 0;
+    return isKept ? &m_stats[host] : nullptr;
 }
 
 void TargetTable::progressed(const HostId &host, MonotonicTime now)
 {
-    Record *const noted = recordToNote(host);
-    if (noted == nullptr)
+    TargetStats *const statsOrNull = statsToUpdate(host);
+    if (statsOrNull == nullptr)
         return;
-    Record &record = *noted;
-    const double pause = toMilliseconds(now - record.progressAt);
-    const bool otherPass = record.begun > 0 && pause > samePassMilliseconds;
-    if (otherPass && record.pause <= 0)
-        record.pause = pause;
-    else if (otherPass)
-        record.pause += smoothing * (pause - record.pause);
-    record.progressAt = now;
+    TargetStats &stats = *statsOrNull;
+    const double passIntervalMilliseconds = toMilliseconds(now - stats.progressAt);
+    const bool isNewPass =
+        stats.begun > 0 && passIntervalMilliseconds > minPassIntervalMilliseconds;
+    if (isNewPass && stats.passIntervalMilliseconds <= 0)
+        stats.passIntervalMilliseconds = passIntervalMilliseconds;
+    else if (isNewPass)
+        stats.passIntervalMilliseconds +=
+            smoothing * (passIntervalMilliseconds - stats.passIntervalMilliseconds);
+    stats.progressAt = now;
 }
 
 MonotonicTime TargetTable::lastProgress(const HostId &host) const
 {
-    const auto found = m_records.find(host);
-    return found == m_records.end() ? MonotonicTime() : found->second.progressAt;
+    const auto found = m_stats.find(host);
+    return found == m_stats.end() ? MonotonicTime() : found->second.progressAt;
 }
 
 void TargetTable::succeeded(const HostId &host, MonotonicTime now)
 {
-    Record *const noted = recordToNote(host);
-    if (noted == nullptr)
+    TargetStats *const statsOrNull = statsToUpdate(host);
+    if (statsOrNull == nullptr)
         return;
-    Record &record = *noted;
-    judge(record, faded(record.slowness, record, now), 1, now);
-    record.avoidance = {};
-    record.avoidUntil = {};
+    TargetStats &stats = *statsOrNull;
+    updateAverages(stats, decayed(stats.slowness, stats, now), 1, now);
+    stats.avoidDuration = {};
+    stats.avoidUntil = {};
 }
 
 void TargetTable::failed(const HostId &host, MonotonicTime now)
 {
-    Record *const noted = recordToNote(host);
-    if (noted == nullptr)
+    TargetStats *const statsOrNull = statsToUpdate(host);
+    if (statsOrNull == nullptr)
         return;
-    Record &record = *noted;
-    judge(record, faded(record.slowness, record, now), 0, now);
+    TargetStats &stats = *statsOrNull;
+    updateAverages(stats, decayed(stats.slowness, stats, now), 0, now);
 }
 
 void TargetTable::avoid(const HostId &host, MonotonicTime now)
 {
-    Record *const noted = recordToNote(host);
-    if (noted == nullptr)
+    TargetStats *const statsOrNull = statsToUpdate(host);
+    if (statsOrNull == nullptr)
         return;
-    Record &record = *noted;
-    if (record.avoidUntil > now)
+    TargetStats &stats = *statsOrNull;
+    if (stats.avoidUntil > now)
         return;
-    record.avoidance = record.avoidance == Duration::zero()
-        ? m_options.avoidance
-        : std::min(record.avoidance * 2, m_options.longestAvoidance);
-    record.avoidUntil = now + record.avoidance;
+    stats.avoidDuration = stats.avoidDuration == Duration::zero()
+        ? m_options.avoidDuration
+        : std::min(stats.avoidDuration * 2, m_options.maxAvoidDuration);
+    stats.avoidUntil = now + stats.avoidDuration;
 }
 
 int TargetTable::inFlight(const HostId &host) const
 {
-    const auto found = m_records.find(host);
-    return found == m_records.end() ? 0 : found->second.inFlight;
+    const auto found = m_stats.find(host);
+    return found == m_stats.end() ? 0 : found->second.inFlight;
 }
 
 int TargetTable::streamsUnderWay(const HostId &host) const
 {
-    const auto found = m_records.find(host);
-    return found == m_records.end() ? 0 : found->second.begun;
+    const auto found = m_stats.find(host);
+    return found == m_stats.end() ? 0 : found->second.begun;
 }
 
 std::vector<Endpoint> TargetTable::takeDropped()
 {
-    return std::move(m_dropped);
+    return std::move(m_removedEndpoints);
 }
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/target_table.h
+++ b/ramphinge/dispatch/target_table.h
@@ -1,11 +1,12 @@
-// Where requests can go, and how soon each place would answer: plain servers and the heads of open
-// replicas, with what this daemon has seen of them.
+// The targets that requests can be sent to, with this daemon's statistics of each: plain servers
+// and the heads of open replicas.
 //
-// A place's expected time comes from the engine's published formula (or, for plain servers, from
-// the service's mean), from own requests in flight there, and from how far it was off before. The
-// last part fades, so that a place which was slow or failed is tried again.
+// The expected time to a target's response comes from the engine's published cost model (for plain
+// servers, from the service's mean), from the requests in flight there, and from the ratio of
+// actual to expected times before. That ratio decays, so that a target which was slow or failed is
+// tried again.
 //
-//   table.rebuild(fleet, plan, *catalog, now);
+//   table.rebuild(fleet, plan, *catalog);
 //   if (const Target *target = table.choose(query, now)) ...
 
 #pragma once
@@ -25,7 +26,7 @@
 
 namespace ramphinge {
 
-// One place that takes requests.
+// A plain server or a replica that takes requests.
 struct Target
 {
     HostId host; // The server, or a replica's head.
@@ -34,7 +35,7 @@
     ServiceId service;
     ReplicaId replica; // Empty for plain servers.
     ModelId model;
-    int slots = 1; // Requests that run there at once.
+    int slots = 1; // Requests that it runs at once.
 
     ServerAddress address() const { return { host, endpoint, zone, service }; }
 };
@@ -44,148 +45,152 @@
     ServiceId service;
     ModelId model; // Empty for plain services.
     Tokens promptTokens;
-    std::set<HostId> exclude; // Already tried.
-    const ServerGate *gate = nullptr; // Places that it doesn't admit now are left out.
+    std::set<HostId> exclude; // Hosts that were already tried.
+    const ServerGate *gate = nullptr; // If not null, targets that it doesn't admit are excluded.
 };
 
 struct TargetTableOptions
 {
     ZoneId ownZone;
-    // Added to the expected time of a place in another zone. From the brief's 1.4 ms one way and
-    // the price of bytes between zones; own zone's load is also better known.
+    // Added to the expected time of a target in another zone: traffic between zones takes 1.4 ms
+    // one way and costs money, and the load of the own zone is known better.
     Duration zonePenalty = std::chrono::milliseconds(15);
-    // Half-life of what is remembered against a place.
-    Duration memory = std::chrono::seconds(4);
-    // A place with streams under way from which nothing came for so many of its usual pauses is
-    // taken to stand still, but not sooner than the first figure and not later than the second.
-    // Streams bring something every pass: 40 ms apart at a small model, and up to 300 ms where a
-    // large one reads many prompts meanwhile.
-    double standstillPauses = 4;
-    Duration shortestStandstill = std::chrono::milliseconds(200);
-    Duration longestStandstill = std::chrono::milliseconds(450);
-    // How long a place gets nothing after it could not be reached; doubles with each repeat.
-    Duration avoidance = std::chrono::milliseconds(800);
-    Duration longestAvoidance = std::chrono::seconds(6);
-    // How long what others have under way counts after it was told: for six reports of 250 ms,
-    // about as long as a request lasts. Then own requests stand for all again.
+    // Half-life of the deviation of a target's averages from their neutral values.
+    Duration averageHalfLife = std::chrono::seconds(4);
+    // A target with active streams counts as stalled if nothing has arrived from it for this many
+    // of its mean pass intervals, within the bounds below. A stream gets data on every engine pass:
+    // every 40 ms from a small model, and up to 300 ms apart while a large one prefills many
+    // prompts.
+    double stallIntervals = 4;
+    Duration minStallTimeout = std::chrono::milliseconds(200);
+    Duration maxStallTimeout = std::chrono::milliseconds(450);
+    // How long a target gets no requests after it was unreachable; doubles with each repetition.
+    Duration avoidDuration = std::chrono::milliseconds(800);
+    Duration maxAvoidDuration = std::chrono::seconds(6);
+    // How long the other daemons' reported load is used: six report intervals of 250 ms, about the
+    // duration of a request. After that, the load is extrapolated from the daemon's own requests.
     Duration othersLoadLasts = std::chrono::milliseconds(1500);
     PlacingOptions placing;
 };
 
-// Not thread-safe: lives on the request loop.
+// Not thread-safe: used on the request loop only.
 class TargetTable
 {
 public:
     TargetTable(TargetTableOptions options, std::uint64_t seed);
 
-    // Takes over the places that exist now; what is known of those that stay is kept. The head of
-    // another replica than before is a new place.
+    // Replaces the targets by those that exist now. Statistics of remaining targets are kept,
+    // except that a head of another replica than before loses its averages.
     void rebuild(const FleetView &fleet, const ReplicaPlan &plan, const ServiceCatalog &catalog);
 
-    // How many daemons send to the same places: own requests in flight are that part of all.
+    // Sets how many daemons send to the same targets: while their load is unknown, the total is
+    // extrapolated from this daemon's requests.
     void setSharers(int daemons) { m_sharers = std::max(1, daemons); }
 
-    // What the other daemons have under way, all told; takes the place of what was told before.
+    // Sets the sum of the other daemons' load; replaces the previous sum.
     void setOthersLoad(const PlaceLoads &loads, MonotonicTime now);
-    // What this daemon has under way; places where nothing is are left out.
+    // This daemon's load, without targets that have none.
     PlaceLoads ownLoad() const;
 
-    // The place with the least expected time, or, of a model's places while the others' load is
-    // known, the better of two that were drawn by their room; null if there is none that is not
-    // excluded.
+    // Chooses the target with the least expected time; for a model, while the other daemons' load
+    // is known, the better of two that are drawn by their free slots. Null if all are excluded. The
+    // pointer is valid until rebuild().
     const Target *choose(const TargetQuery &query, MonotonicTime now);
 
-    // All places that could serve the query.
+    // The hosts of all targets that match the query.
     std::vector<HostId> candidates(const TargetQuery &query, MonotonicTime now) const;
 
-    // How long until the first event or the answer at `host`, by the formula and what was seen, for
-    // a request that goes before the late ones.
+    // Predicted time until the first event or the response from `host`, for a request that is not
+    // late.
     Duration expectedTime(const HostId &host, Tokens prompt, MonotonicTime now) const;
 
-    // A request was sent; its prompt counts until began() or ended().
+    // A request was sent. Its prompt counts as waiting until began() or ended().
     void sent(const HostId &host, Tokens prompt, Urgency urgency = Urgency::InTime);
-    // The first event or the answer's head came after `took`; `expected` as it was before sending.
-    // Nothing is learned from late requests, which wait for all others.
+    // The first event or the response's head arrived after `took`; `expected` is the prediction
+    // from before sending. Late requests don't change the averages, since they wait for all others.
     void began(const HostId &host, Tokens prompt, Duration took, Duration expected,
                MonotonicTime now, Urgency urgency = Urgency::InTime);
-    // The request is over, whether or not it began.
+    // The request has ended; `hadBegun` tells whether began() was called for it.
     void ended(const HostId &host, Tokens prompt, bool hadBegun, Urgency urgency = Urgency::InTime);
 
-    // Something arrived from the place.
+    // Data arrived from the target.
     void progressed(const HostId &host, MonotonicTime now);
-    // How long without anything from the place means that it stands still.
+    // The target counts as stalled if nothing arrives from it for this long.
     Duration standstillOf(const HostId &host) const;
-    // When something last arrived; long ago if never.
+    // When data last arrived; the epoch of the clock if never.
     MonotonicTime lastProgress(const HostId &host) const;
 
     void succeeded(const HostId &host, MonotonicTime now);
-    // It answered, but not usefully.
+    // It responded with a failure or a refusal.
     void failed(const HostId &host, MonotonicTime now);
-    // It was not reachable, refused, or stands still: gets nothing for a while.
+    // It was unreachable, refused, or stalled: gets no requests for a while, unless there is no
+    // other target.
     void avoid(const HostId &host, MonotonicTime now);
 
     bool knows(const HostId &host) const { return m_targets.count(host) > 0; }
-    // Whether anything that was seen of the place is kept.
-    bool remembers(const HostId &host) const { return m_records.count(host) > 0; }
+    // Whether statistics of the host are kept.
+    bool remembers(const HostId &host) const { return m_stats.count(host) > 0; }
     std::size_t size() const { return m_targets.size(); }
     int inFlight(const HostId &host) const;
-    // Own requests there that have begun and not ended.
+    // This daemon's requests there that have begun and not ended.
     int streamsUnderWay(const HostId &host) const;
 
-    // Endpoints that have left since the last call.
+    // Endpoints of servers that have left the fleet since the last call.
     std::vector<Endpoint> takeDropped();
 
 private:
-    struct Record
+    struct TargetStats
     {
-        int inFlight = 0; // Invariant: sent() minus ended().
-        int begun = 0; // Of those, the ones that have begun.
-        int lateWaiting = 0; // Late ones that have not begun.
-        std::int64_t pendingPrompt = 0; // Tokens of requests in time that have not begun.
-        double slowness = 1; // Actual over expected time, smoothed.
-        double success = 1; // Share of requests that went well, smoothed.
-        MonotonicTime judgedAt; // When the two above were last changed.
+        int inFlight = 0; // Invariant: calls of sent() minus calls of ended().
+        int begun = 0; // Requests in flight that have begun.
+        int lateWaiting = 0; // Late requests in flight that have not begun.
+        std::int64_t pendingPrompt = 0; // Tokens of other requests that have not begun.
+        double slowness = 1; // Ratio of actual to expected time, smoothed.
+        double success = 1; // Share of successful requests, smoothed.
+        MonotonicTime averagedAt; // When `slowness` and `success` were last updated.
         MonotonicTime progressAt;
-        double pause = 0; // Milliseconds between two passes, smoothed; 0 before any was seen.
+        double passIntervalMilliseconds = 0; // Between engine passes, smoothed; 0: unknown.
         MonotonicTime avoidUntil;
-        Duration avoidance {};
+        Duration avoidDuration {};
     };
 
-    void addPlain(const UpstreamServer &server);
+    void addPlainServer(const UpstreamServer &server);
     void addReplicas(const FleetView &fleet, const ReplicaPlan &plan,
                      const ServiceCatalog &catalog);
-    static void forgetLearned(Record &record);
-    // Where to note what was seen of a place; null if it has left and nothing is under way there.
-    Record *recordToNote(const HostId &host);
-    void noteDropped(const FleetView &fleet);
-    const Target *chooseByRoom(const TargetQuery &query, MonotonicTime now);
+    static void resetAverages(TargetStats &stats);
+    // The statistics of a host to be updated; null if it is no target any more and has no request
+    // in flight.
+    TargetStats *statsToUpdate(const HostId &host);
+    void collectRemovedEndpoints(const FleetView &fleet);
+    const Target *chooseByFreeSlots(const TargetQuery &query, MonotonicTime now);
     static bool isCandidate(const Target &target, const TargetQuery &query, MonotonicTime now);
-    // Requests in time that run or wait there, of all daemons.
-    double runningAt(const Target &target, const Record &record, MonotonicTime now) const;
-    bool knowsOthers(MonotonicTime now) const;
-    double formulaMilliseconds(const Target &target, const Record &record, Tokens prompt,
-                               MonotonicTime now) const;
+    // Requests of all daemons that run or wait there, without late ones that wait.
+    double runningAt(const Target &target, const TargetStats &stats, MonotonicTime now) const;
+    bool hasRecentOthersLoad(MonotonicTime now) const;
+    double predictedMilliseconds(const Target &target, const TargetStats &stats, Tokens prompt,
+                                 MonotonicTime now) const;
     double score(const Target &target, Tokens prompt, MonotonicTime now) const;
-    double faded(double value, const Record &record, MonotonicTime now) const;
-    Duration standstillOf(const Record &record) const;
-    bool standsStill(const Record &record, MonotonicTime now) const;
-    static void wait(Record &record, Tokens prompt, Urgency urgency, int change);
-    void judge(Record &record, double slowness, double success, MonotonicTime now);
+    double decayed(double value, const TargetStats &stats, MonotonicTime now) const;
+    Duration standstillOf(const TargetStats &stats) const;
+    bool standsStill(const TargetStats &stats, MonotonicTime now) const;
+    static void adjustWaiting(TargetStats &stats, Tokens prompt, Urgency urgency, int change);
+    void updateAverages(TargetStats &stats, double slowness, double success, MonotonicTime now);
 
     TargetTableOptions m_options;
     Random m_random;
     int m_sharers = 1;
-    std::map<HostId, PlaceLoad> m_others; // As last told.
-    std::optional<MonotonicTime> m_othersAt; // When; nothing if never.
+    std::map<HostId, PlaceLoad> m_othersLoad; // As last reported.
+    std::optional<MonotonicTime> m_othersLoadAt; // When it was last reported; empty if never.
     std::map<HostId, Target> m_targets;
-    std::map<HostId, Record> m_records; // Also of places with requests in flight that have left.
+    std::map<HostId, TargetStats> m_stats; // Includes former targets with requests in flight.
     std::map<ServiceId, EngineProfile> m_engines;
-    std::map<ServiceId, double> m_plainMean; // Milliseconds, smoothed.
-    // What first events take beyond the formula, which leaves out the engine's own overhead.
-    std::map<ModelId, double> m_overhead; // Milliseconds, smoothed.
-    // Servers in the view that were places since they came, also if they are none at present.
-    std::map<HostId, Endpoint> m_used;
-    std::vector<Endpoint> m_dropped; // Of servers of m_used that have left the view.
+    std::map<ServiceId, double> m_plainMeanMilliseconds; // Response time, smoothed.
+    // Time to the first event beyond the cost model, which excludes the engine's own overhead.
+    std::map<ModelId, double> m_overheadMilliseconds; // Smoothed.
+    // Servers of the fleet view that are targets, or have been since they joined it.
+    std::map<HostId, Endpoint> m_usedServers;
+    // Of servers in m_usedServers that have left the fleet view.
+    std::vector<Endpoint> m_removedEndpoints;
 };
 
 } // namespace ramphinge
