--- a/ramphinge/dispatch/upstream_client.cpp
+++ b/ramphinge/dispatch/upstream_client.cpp
@@ -1,4 +1,4 @@
-// Calls of upstream servers: see upstream_client.h.
+// Calls to upstream servers: see upstream_client.h.
 
 #include "ramphinge/dispatch/upstream_client.h"
 
--- a/ramphinge/dispatch/upstream_client.h
+++ b/ramphinge/dispatch/upstream_client.h
@@ -1,6 +1,6 @@
-// The one way to upstream servers: requests, reports and orders alike. Reads what each answer says
-// of its server, and writes nothing to one that asked for nothing, and no request to one that
-// leaves.
+// The client through which all calls to upstream servers go: requests, reports and orders.
+// Evaluates what each response states about its server. Writes nothing to a server that asked for a
+// pause, and no request to one that is leaving.
 //
 //   auto call = upstreams.call(target.address(), SendPurpose::Request, request, options);
 //   if (Status sent = call->start(yield); !sent.ok()) ...
@@ -19,12 +19,12 @@
 class UpstreamCall : public HttpCall
 {
 public:
-    // Whether the request was not written since its server asked for nothing, or leaves. It counts
-    // for no failure of the server then.
+    // Whether the request was not written because its server asked for a pause or is leaving. Such
+    // a call must not count as a failure of the server.
     virtual bool withheld() const = 0;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class UpstreamClient
 {
 public:
@@ -38,14 +38,14 @@
     std::unique_ptr<UpstreamCall> call(const ServerAddress &server, SendPurpose purpose,
                                        const HttpRequest &request, HttpCallOptions options);
 
-    // Called when a server says that it leaves, which was not known; in the coroutine of whoever
-    // was answered.
+    // Sets the handler that is called when a server first states that it is leaving. It runs in the
+    // coroutine that received the response.
     void onLeaving(std::function<void()> leaving) { m_onLeaving = std::move(leaving); }
 
 private:
     class Call;
 
-    // Takes over what an answer to a request that was sent at `sentAt` says of its server.
+    // Applies what the response to a request that was sent at `sentAt` states about its server.
     void noteAnswer(const ServerAddress &server, const HttpCall &call, MonotonicTime sentAt);
     void logChange(const char *event, const ServerAddress &server, const char *change,
                    nlohmann::json fields);
@@ -56,7 +56,7 @@
     const Clock &m_clock;
     DecisionLog &m_log;
     Metrics &m_metrics;
-    std::function<void()> m_onLeaving; // Empty: nobody is told.
+    std::function<void()> m_onLeaving; // May be empty.
 };
 
 } // namespace ramphinge
