--- a/ramphinge/dispatch/urgency.cpp
+++ b/ramphinge/dispatch/urgency.cpp
@@ -1,4 +1,4 @@
-// Which requests go first: see urgency.h.
+// Precedence of requests under overload: see urgency.h.
 
 #include "ramphinge/dispatch/urgency.h"
 
