--- a/ramphinge/dispatch/dispatch_state.h
+++ b/ramphinge/dispatch/dispatch_state.h
@@ -1,5 +1,5 @@
-// What the request path believes at this moment. The parts that talk to the store change it; the
-// request path reads it. Both on one event loop.
+// The state that the request path works from. The components that synchronize with the store update
+// it, and the request path reads it, all on one event loop.
 
 #pragma once
 
@@ -25,25 +25,29 @@
         : freshness(proof), targets(std::move(table)), budgetOptions(budget)
     { }
 
-    CatalogPointer catalog; // Null until one is known. Its version never goes back.
+    CatalogPointer
+        catalog; // Null until the first is known. Invariant: its version never decreases.
     Freshness freshness; // Of `catalog`.
     TargetTable targets;
     ServerGate gate;
-    DemandMeter demand { std::chrono::seconds(6) }; // Half-life: a mix shifts within seconds.
-    // A check takes the planner under a second; what it does about a dead server takes two more.
+    // Half-life: the mix of models that are asked for can shift within seconds.
+    DemandMeter demand { std::chrono::seconds(6) };
+    // Repeat interval: the planner checks a server in less than a second, and takes two more to
+    // replace a dead one.
     Suspicions suspicions { std::chrono::seconds(3) };
     Quarantine quarantine { QuarantineOptions() };
     SharedRetryBudgetOptions budgetOptions;
-    MonotonicTime startedAt; // Of the process; long ago if not set.
-    std::string fingerprintKey; // Of requests' fingerprints; empty until the store told it.
+    MonotonicTime startedAt; // Of the process; the epoch of the clock if not set.
+    std::string fingerprintKey; // Key of the request fingerprints; empty until read from the store.
     bool draining = false; // The process is about to stop.
-    bool sawRequest = false; // Any request has come in.
+    bool sawRequest = false; // Whether any request has arrived.
 
-    // How many daemons are registered now; they share the retry budget. Registrations lapse while
-    // the store is away, so fewer than before change nothing.
+    // Sets how many daemons are registered now; they share the retry budget. A lower number than
+    // before is ignored, since registrations expire while the store is unreachable.
     void noteDaemons(int daemons) { m_daemons = std::max(m_daemons, daemons); }
     int daemons() const { return m_daemons; }
 
+    // This daemon's share of the service's retry budget.
     SharedRetryBudget &budgetOf(const ServiceId &service)
     {
         SharedRetryBudget &budget =
@@ -53,16 +57,16 @@
         return budget;
     }
 
-    // Of callers that are refused since the servers accept no more.
-    ReturnSchedule &returnsTo(const ServiceId &service, const ModelId &model)
+    // Retry-After times for callers that are refused because the servers are at their rate limits.
+    ReturnSchedule &retryAfterSchedule(const ServiceId &service, const ModelId &model)
     {
-        return m_returns[{ service, model }];
+        return m_retryAfterSchedules[{ service, model }];
     }
 
 private:
-    int m_daemons = 1; // The most that were ever known.
+    int m_daemons = 1; // The highest number ever known.
     std::map<ServiceId, SharedRetryBudget> m_budgets;
-    std::map<std::pair<ServiceId, ModelId>, ReturnSchedule> m_returns;
+    std::map<std::pair<ServiceId, ModelId>, ReturnSchedule> m_retryAfterSchedules;
 };
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/dispatcher.cpp
+++ b/ramphinge/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-// The request path's entry: see dispatcher.h.
+// Entry point of the request path: see dispatcher.h.
 
 #include "ramphinge/dispatch/dispatcher.h"
 
@@ -12,15 +12,15 @@
 
 namespace {
 
-bool mayComeBack(RefusalReason reason)
+bool carriesRetryAfter(RefusalReason reason)
 {
     return reason == RefusalReason::NoCatalog || reason == RefusalReason::StaleCatalog
         || reason == RefusalReason::InternalError;
 }
 
-// Fills in `incoming`. Throws nothing that a translation or an admission may throw: nothing was
-// sent yet, and the caller is told so.
-std::variant<AdmittedRequest, RefusalReason> decodeAndAdmit(RunContext &context,
+// Fills in `incoming`. Exceptions of the codec and the admission become InternalError, which tells
+// the caller that nothing was executed.
+std::variant<AdmittedRequest, RefusalReason> decodeAndAdmit(DispatchContext &context,
                                                             const HttpRequest &message,
                                                             IncomingRequest &incoming,
                                                             MonotonicTime arrival)
@@ -37,8 +37,8 @@
     }
 }
 
-void noteRefused(RunContext &context, RefusalReason reason, const RequestId &request,
-                 MonotonicTime arrival)
+void recordRefusal(DispatchContext &context, RefusalReason reason, const RequestId &request,
+                   MonotonicTime arrival)
 {
     const DispatchState &state = context.state;
     const Duration age = state.freshness.age(arrival).value_or(Duration::zero());
@@ -52,16 +52,16 @@
 
 } // namespace
 
-struct Dispatcher::Parts
+struct Dispatcher::Impl
 {
-    RunContext context;
+    DispatchContext context;
 };
 
 Dispatcher::Dispatcher(IoContext &io, const Clock &clock, DispatchOptions options,
                        const RequestCodec &codec, UpstreamClient &upstreams, ServerProbe &probe,
                        TrialGranter &trials, DispatchState &state, DecisionLog &log,
                        Metrics &metrics)
-    : m_parts(new Parts {
+    : m_impl(new Impl {
         { io, clock, options, codec, upstreams, state, log, metrics, Random(entropySeed()),
           CrashWatch(io, clock, options.crashWatch, probe, state.quarantine, log, metrics),
           trials } })
@@ -72,15 +72,15 @@
 void Dispatcher::handle(HttpExchange &exchange, Yield yield)
 {
     const MarkedScope open(processMarks().openRequests);
-    RunContext &context = m_parts->context;
+    DispatchContext &context = m_impl->context;
     const MonotonicTime arrival = context.clock.now();
     context.state.sawRequest = true;
     IncomingRequest incoming;
     std::variant<AdmittedRequest, RefusalReason> admission =
         decodeAndAdmit(context, exchange.request(), incoming, arrival);
     if (const auto *reason = std::get_if<RefusalReason>(&admission)) {
-        noteRefused(context, *reason, incoming.request, arrival);
-        const std::optional<Duration> retryAfter = mayComeBack(*reason)
+        recordRefusal(context, *reason, incoming.request, arrival);
+        const std::optional<Duration> retryAfter = carriesRetryAfter(*reason)
             ? std::optional<Duration>(context.options.retryAfter)
             : std::nullopt;
         static_cast<void>(exchange.respond(refusalAnswer(*reason, retryAfter), yield));
@@ -88,20 +88,20 @@
     }
     auto &admitted = std::get<AdmittedRequest>(admission);
     if (admitted.route->kind == RequestKind::Stream)
-        StreamRun(context, exchange, incoming, std::move(admitted), arrival).execute(yield);
+        StreamedRequest(context, exchange, incoming, std::move(admitted), arrival).execute(yield);
     else
-        WholeRun(context, exchange, incoming, std::move(admitted), arrival).execute(yield);
+        BufferedRequest(context, exchange, incoming, std::move(admitted), arrival).execute(yield);
 }
 
 void Dispatcher::serversChanged(const FleetView &fleet)
 {
-    m_parts->context.crashes.serversChanged(
+    m_impl->context.crashes.serversChanged(
         [&fleet](const HostId &host) { return fleet.find(host) != nullptr; });
 }
 
 HttpResponse Dispatcher::refuse(HttpFault fault)
 {
-    m_parts->context.metrics.count(MetricName("requests_total").with("outcome", "unreadable"));
+    m_impl->context.metrics.count(MetricName("requests_total").with("outcome", "unreadable"));
     switch (fault) {
     case HttpFault::BodyTooLarge:
         return jsonResponse(413, R"({"error":{"type":"body_too_large"}})");
--- a/ramphinge/dispatch/dispatcher.h
+++ b/ramphinge/dispatch/dispatcher.h
@@ -1,8 +1,9 @@
-// The request path: admits a request, chooses an upstream, relays the answer, and tries another
-// upstream where the request's kind and the budgets allow it.
+// The request path: admits a request, chooses an upstream, forwards the response, and retries at
+// another upstream where the route and the retry budget allow it.
 //
-// What may be repeated: a request that was certainly not executed, always; one that may have run,
-// only if its kind allows it. A request that is given up on is answered at once.
+// A request that certainly has not been executed may always be retried; one that may have been
+// executed only if its route allows that. A request that is not retried any more gets an error
+// response at once.
 
 #pragma once
 
@@ -23,33 +24,33 @@
 
 struct DispatchOptions
 {
-    // To a live server a connection takes a round trip of a few milliseconds; to one that is gone
-    // it hangs.
+    // Connecting to a live server takes a round trip of a few milliseconds; connecting to a host
+    // that is down hangs.
     Duration connectTimeout = std::chrono::milliseconds(250);
-    // A request that must not run twice goes over a kept connection only if that was used this
-    // recently: the other side may be closing an older one.
+    // A request that must not be executed twice reuses an idle connection only if that was used
+    // this recently: the server may be closing an older one.
     Duration maxIdleAtMostOnce = std::chrono::milliseconds(1500);
-    // Part of the remaining time after which a repeatable request that got no answer is tried
-    // elsewhere.
-    double repeatAfterShare = 0.4;
+    // Share of the time left that a request with a whole response waits for the response's head
+    // before it is retried elsewhere, if it may be.
+    double headTimeoutShare = 0.4;
     StallOptions stall;
-    // Between two looks at whether a stream stands still.
+    // Interval between two checks whether a stream has stalled.
     Duration stallLook = std::chrono::milliseconds(60);
     UrgencyOptions urgency;
-    // Not-executed answers that a request may meet before it is refused.
-    int maxRefusals = 3;
-    // When a refused caller should come back; up to `retryAfterSpread` more, at random. A still
-    // stream that another upstream refused waits as long before the next one is asked.
+    // After this many responses with the promise that the request was not executed, it is refused.
+    int maxNotExecutedAnswers = 3;
+    // Retry-After of a refusal, randomly lengthened by up to the share `retryAfterSpread`. After a
+    // failed attempt to move a stalled stream, the next one starts this much later.
     Duration retryAfter = std::chrono::milliseconds(250);
     double retryAfterSpread = 0.8;
-    // The same for a request that is held back for the servers that ended under it: it is until an
-    // operator lets it go, or a whole answer elsewhere clears it.
+    // The same for a quarantined request. It stays quarantined until an operator releases it, or a
+    // complete response at another daemon proves it harmless.
     Duration retryAfterQuarantine = std::chrono::minutes(1);
     CrashWatchOptions crashWatch;
     std::size_t maxWholeAnswerBytes = 16 * 1024 * 1024;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class Dispatcher : public HttpHandler
 {
 public:
@@ -61,12 +62,12 @@
     void handle(HttpExchange &exchange, Yield yield) override;
     HttpResponse refuse(HttpFault fault) override;
 
-    // The picture of the fleet is another.
+    // To be called when the fleet view has changed.
     void serversChanged(const FleetView &fleet);
 
 private:
-    struct Parts;
-    std::unique_ptr<Parts> m_parts;
+    struct Impl;
+    std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/internal/buffered_request.cpp
+++ b/ramphinge/dispatch/internal/buffered_request.cpp
@@ -1,4 +1,4 @@
-// Requests with whole answers: see proxied_request.h.
+// Requests with buffered responses: see proxied_request.h.
 
 #include <algorithm>
 
@@ -17,78 +17,80 @@
 
 } // namespace
 
-Duration WholeRun::headPatience() const
+Duration BufferedRequest::maxHeadWait() const
 {
-    if (!mayMove(m_mayHaveRun + 1))
+    if (!mayFailOver(m_mayHaveRunCount + 1))
         return timeLeft();
-    const Duration patience = scaled(timeLeft(), m_context.options.repeatAfterShare);
-    return std::min(timeLeft(), std::max(patience, m_admitted.route->objective));
+    const Duration maxWait = scaled(timeLeft(), m_context.options.headTimeoutShare);
+    return std::min(timeLeft(), std::max(maxWait, m_admitted.route->objective));
 }
 
-// Sends the request and waits for the answer's head, for so long in the upstream's accounts.
-Status WholeRun::startCall(const Target &target, Yield yield)
+// Sends the request and waits for the response's head; the request counts as in flight meanwhile.
+Status BufferedRequest::startCall(const Target &target, Yield yield)
 {
     TargetTable &targets = m_context.state.targets;
     const MonotonicTime sentAt = now();
     const Duration expected = targets.expectedTime(target.host, m_incoming.promptTokens, sentAt);
     logTarget(target, expected, Urgency::InTime);
-    m_call = makeCall(target, {}, headPatience(), Urgency::InTime);
-    TargetUse use(targets, target.host, m_incoming.promptTokens);
+    m_call = makeCall(target, {}, maxHeadWait(), Urgency::InTime);
+    InFlightGuard inFlight(targets, target.host, m_incoming.promptTokens);
     Status started = m_call->start(yield);
     if (started.ok())
-        use.begin(now() - sentAt, expected, now());
+        inFlight.begin(now() - sentAt, expected, now());
     return started;
 }
 
-AttemptEnd WholeRun::attempt(const Target &target, Yield yield)
+AttemptEnd BufferedRequest::attempt(const Target &target, Yield yield)
 {
     TargetTable &targets = m_context.state.targets;
     const MonotonicTime sentAt = now();
     const Status started = startCall(target, yield);
-    m_sends += m_call->sent() ? 1 : 0;
+    m_sendCount += m_call->sent() ? 1 : 0;
     if (!started.ok()) {
-        m_mayHaveRun += m_call->sent() ? 1 : 0;
+        m_mayHaveRunCount += m_call->sent() ? 1 : 0;
         if (m_call->withheld()) {
-            noteWithheld(target);
+            logWithheld(target);
         } else if (!callerGone()) {
             avoid(target);
-            logAttempt(target, "no_answer", started.error().message());
+            logFailedAttempt(target, "no_answer", started.error().message());
         }
         if (m_call->endedByPeer())
-            noteConnectionEnded(target, sentAt, yield);
-        return endOf(started);
+            awaitCrashVerdict(target, sentAt, yield);
+        return attemptEndFor(started);
     }
     const AnswerHead head = m_context.codec.decodeAnswer(m_call->status(), m_call->headers());
-    Result<std::string> body = readWhole(yield);
+    Result<std::string> body = readBody(yield);
     if (head.notExecuted)
-        return noteRefusal(target, head);
-    ++m_mayHaveRun;
+        return handleNotExecuted(target, head);
+    ++m_mayHaveRunCount;
     const bool usable = body.ok() && head.authentic && !head.decoded;
     if (!usable) {
         targets.failed(target.host, now());
         if (!callerGone())
-            logAttempt(target, "unusable",
-                       body.ok() ? "the answer is not authentic" : body.error().message());
+            logFailedAttempt(target, "unusable",
+                             body.ok() ? "the answer is not authentic" : body.error().message());
         if (m_call->endedByPeer())
-            noteConnectionEnded(target, sentAt, yield);
+            awaitCrashVerdict(target, sentAt, yield);
         return AttemptEnd::Failed;
     }
-    // Where nobody else may be asked, the server's own answer tells the caller more.
-    const bool again = head.status >= serverError && mayMove(m_mayHaveRun)
+    // Without a retry, the server's own error response tells the caller more than one of the
+    // daemon.
+    const bool shouldRetry = head.status >= serverError && mayFailOver(m_mayHaveRunCount)
         && timeLeft() > m_admitted.route->objective;
-    if (again) {
+    if (shouldRetry) {
         targets.failed(target.host, now());
-        logAttempt(target, "server_error", "status " + std::to_string(head.status));
+        logFailedAttempt(target, "server_error", "status " + std::to_string(head.status));
         return AttemptEnd::Failed;
     }
     if (head.status < serverError)
         targets.succeeded(target.host, now());
     if (isSuccess(head.status))
         noteAnswered();
-    static_cast<void>(deliver(head, std::move(body.value()), yield)); // Noted by the server.
+    static_cast<void>(
+        sendResponse(head, std::move(body.value()), yield)); // The HTTP server notes a failure.
     logEnd("answered", isSuccess(head.status) ? LogWeight::Routine : LogWeight::Failure,
            { { "host", target.host.text() }, { "status", head.status } });
-    countEnd(isSuccess(head.status) ? "served" : "server_failure");
+    countOutcome(isSuccess(head.status) ? "served" : "server_failure");
     return AttemptEnd::Done;
 }
 
--- a/ramphinge/dispatch/internal/proxied_request.h
+++ b/ramphinge/dispatch/internal/proxied_request.h
@@ -1,5 +1,5 @@
-// One request on its way: what its attempts have in common. The two kinds of answer, whole and
-// streamed, are separate classes over this one.
+// One request that is being forwarded to upstreams: the logic that its attempts share. Requests
+// with buffered and with streamed responses are separate subclasses.
 
 #pragma once
 
@@ -13,8 +13,8 @@
 
 namespace ramphinge {
 
-// What all runs of a daemon share.
-struct RunContext
+// What all requests of a daemon share.
+struct DispatchContext
 {
     IoContext &io;
     const Clock &clock;
@@ -31,23 +31,24 @@
 
 // How one attempt ended.
 enum class AttemptEnd {
-    Done, // The caller has its whole answer, or is gone.
-    NotSent, // No byte of it went out.
-    NotExecuted, // The upstream promised that it has not run and won't.
-    Failed, // It may have run.
+    Done, // The caller has its complete response, or has disconnected.
+    NotSent, // No byte of the request was sent.
+    NotExecuted, // The upstream guarantees that it has not executed the request and won't.
+    Failed, // The upstream may have executed it.
 };
 
-// A request's place in the accounts of one upstream, from its sending to its end, whatever way that
-// comes: an account that is not closed would keep requests away from a healthy upstream for good.
-class TargetUse
+// RAII guard that counts a request as in flight at one target. A count that is never taken back
+// would keep requests away from a healthy upstream forever.
+class InFlightGuard
 {
 public:
-    TargetUse(TargetTable &targets, HostId host, Tokens prompt, Urgency urgency = Urgency::InTime);
-    ~TargetUse();
-    TargetUse(const TargetUse &) = delete;
-    TargetUse &operator=(const TargetUse &) = delete;
+    InFlightGuard(TargetTable &targets, HostId host, Tokens prompt,
+                  Urgency urgency = Urgency::InTime);
+    ~InFlightGuard();
+    InFlightGuard(const InFlightGuard &) = delete;
+    InFlightGuard &operator=(const InFlightGuard &) = delete;
 
-    // The first event or the answer's head came after `took`. Call once.
+    // The first event or the response's head arrived after `took`. Call at most once.
     void begin(Duration took, Duration expected, MonotonicTime now);
 
 private:
@@ -58,196 +59,212 @@
     bool m_begun = false;
 };
 
-// One request. Lives in its connection's coroutine.
+// One request. Used by its connection's coroutine.
 //
-// What is thrown on its way, by whatever part, ends it with an answer that is true: execute() does
-// not throw unless the answer itself can't be made.
-class Run
+// An exception in any component ends the request with an error response that is correct about
+// whether it may have been executed: execute() throws only if that response itself can't be made.
+class ProxiedRequest
 {
 public:
-    Run(RunContext &context, HttpExchange &exchange, const IncomingRequest &incoming,
-        AdmittedRequest admitted, MonotonicTime arrival);
-    virtual ~Run();
-    Run(const Run &) = delete;
-    Run &operator=(const Run &) = delete;
-
-    // Serves the request to its end.
+    ProxiedRequest(DispatchContext &context, HttpExchange &exchange,
+                   const IncomingRequest &incoming, AdmittedRequest admitted,
+                   MonotonicTime arrival);
+    virtual ~ProxiedRequest();
+    ProxiedRequest(const ProxiedRequest &) = delete;
+    ProxiedRequest &operator=(const ProxiedRequest &) = delete;
+
+    // Serves the request until its response has been sent or the caller has disconnected.
     void execute(Yield yield);
 
 protected:
     // Tries one upstream. `m_call` is the call in progress.
     virtual AttemptEnd attempt(const Target &target, Yield yield) = 0;
 
-    // Ends the request with an answer of the daemon's own.
-    virtual void giveUp(RefusalReason reason, Yield yield);
+    // Ends the request with an error response of the daemon.
+    virtual void endWithError(RefusalReason reason, Yield yield);
 
-    // Whether the upstream may be sent the request again after it may have run there.
+    // Whether the request may be retried after an upstream may have executed it.
     bool mayRepeat() const { return m_admitted.route->mayRepeat(); }
 
-    // Whether the request could go to another upstream if the present one fails now.
-    bool mayMove(int mayHaveRun) const;
+    // Whether the request could be sent to another upstream if the current one failed now.
+    // `mayHaveRunCount` is the number of upstreams that may have executed it by then.
+    bool mayFailOver(int mayHaveRunCount) const;
 
-    // The upstream of the next attempt; nothing if there is none.
-    virtual std::optional<Target> nextTarget() { return takeTarget(); }
+    // The target of the next attempt; nothing if there is none.
+    virtual std::optional<Target> nextTarget() { return reserveTarget(); }
 
-    // The best upstream that this request has not been to; it counts as one from now on.
-    std::optional<Target> takeTarget();
+    // Chooses the best target that was not tried yet, marks it as tried and charges its rate limit.
+    // Nothing if there is none or the request is quarantined.
+    std::optional<Target> reserveTarget();
 
-    // Why the request ends after an attempt that did not answer it; nothing if it goes on.
-    virtual std::optional<RefusalReason> whyNotAgain(AttemptEnd last);
+    // Why the request ends after an unsuccessful attempt; nothing if there may be another one. That
+    // is charged to the retry budget if anything was sent before.
+    virtual std::optional<RefusalReason> reasonToStop(AttemptEnd last);
 
-    // Whether servers have ended under this request, so that no other may be sent it. Asked before
-    // each send: the word may come from another daemon at any time.
+    // Whether the request must not be sent since servers have terminated while they ran it. Checked
+    // before each send, since reports of other daemons may arrive at any time.
     bool isQuarantined() const;
-    SuspectRequest suspect() const;
-    // The connection to an upstream ended under the request. Waits until it is known whether the
-    // upstream has ended: what is decided next depends on it.
-    void noteConnectionEnded(const Target &target, MonotonicTime sentAt, Yield yield);
-    // An upstream has answered whole, so the request doesn't crash what runs it.
+    SuspectRequest suspectRequest() const;
+    // The connection to an upstream ended before the response was complete. Waits until it is known
+    // whether the upstream has terminated, since that may quarantine the request.
+    void awaitCrashVerdict(const Target &target, MonotonicTime sentAt, Yield yield);
+    // An upstream has responded completely, which proves that the request doesn't crash servers.
     void noteAnswered();
 
-    // Ends the work of upstreams for a caller who has gone.
+    // Cancels the calls to upstreams after the caller has disconnected.
     virtual void cancelCalls();
 
-    // Ends the work of upstreams after an exception, and counts those that may have run it.
-    virtual void abandon();
+    // Cancels the calls to upstreams after an exception, and counts those that may have executed
+    // it.
+    virtual void cancelAfterException();
 
     std::unique_ptr<UpstreamCall> makeCall(const Target &target, const EventId &resumeAfter,
                                            Duration headTimeout, Urgency urgency) const;
-    // Of connections to one server, this daemon's part of what the server accepts from all.
+    // This daemon's share of the connections that one server accepts from all daemons.
     int maxIdleConnections() const;
-    // What the failure of a call's start means.
-    AttemptEnd endOf(const Status &failure) const;
-    // The request was not written, since its server asked for nothing meanwhile.
-    void noteWithheld(const Target &target) const;
-    // What an upstream's refusal means; also remembers it against the server.
-    AttemptEnd noteRefusal(const Target &target, const AnswerHead &head);
-    // Sends nothing more there for a while, and lets the planner look after its replica.
+    // How an attempt ended whose call could not be started.
+    AttemptEnd attemptEndFor(const Status &failure) const;
+    // The request was not written, since its server asked for a pause or is leaving.
+    void logWithheld(const Target &target) const;
+    // Handles a response with the guarantee that the request was not executed; counts as a failure
+    // of the target.
+    AttemptEnd handleNotExecuted(const Target &target, const AnswerHead &head);
+    // Avoids the target for a while, and reports its replica as suspected to the planner.
     void avoid(const Target &target);
-    // Reads the rest of an answer. Errors: Unknown.
-    Result<std::string> readWhole(Yield yield);
-    Status deliver(const AnswerHead &head, std::string body, Yield yield);
+    // Reads the whole response body. Errors: Unknown.
+    Result<std::string> readBody(Yield yield);
+    Status sendResponse(const AnswerHead &head, std::string body, Yield yield);
 
-    // Of what the caller asks for, whatever attempt this is. Computed when first asked for: it
-    // takes a pass over the body.
+    // Identifies the request's content; the same for every attempt. Computed on first use, since it
+    // hashes the body.
     const RequestFingerprint &fingerprint() const;
 
     MonotonicTime now() const { return m_context.clock.now(); }
     Duration timeLeft() const { return m_admitted.deadline - now(); }
     bool callerGone() const { return m_exchange.callerGone(); }
     void logTarget(const Target &target, Duration expected, Urgency urgency) const;
-    void logEnd(const char *event, LogWeight weight, nlohmann::json more) const;
-    void logAttempt(const Target &target, const char *what, const std::string &why) const;
-    void countEnd(const char *outcome) const;
+    void logEnd(const char *event, LogWeight weight, nlohmann::json fields) const;
+    void logFailedAttempt(const Target &target, const char *what, const std::string &why) const;
+    void countOutcome(const char *outcome) const;
 
-    RunContext &m_context;
+    DispatchContext &m_context;
     HttpExchange &m_exchange;
     const IncomingRequest &m_incoming;
     AdmittedRequest m_admitted;
     MonotonicTime m_arrival;
-    std::unique_ptr<UpstreamCall> m_call; // Null between two attempts.
-    int m_sends = 0; // Upstreams that were sent at least a part of the request.
-    int m_mayHaveRun = 0; // Of those, the ones that did not promise the contrary.
-    bool m_repeatPaid = false; // The next attempt was taken from the budget already.
+    std::unique_ptr<UpstreamCall> m_call; // Null between attempts.
+    int m_sendCount = 0; // Calls in which at least a part of the request was sent.
+    int m_mayHaveRunCount = 0; // Upstreams that may have executed the request.
+    bool m_retryPrepaid = false; // The next retry is already charged to the retry budget.
 
 private:
-    void tryUpstreams(Yield yield);
-    void endByFailure(const std::string &why, Yield yield);
-    TargetQuery query() const;
+    void tryTargets(Yield yield);
+    void failAfterException(const std::string &why, Yield yield);
+    TargetQuery targetQuery() const;
     RefusalReason finalReason() const;
-    // All that could serve it, also those that accept nothing now.
-    std::vector<HostId> possibleHosts() const;
-    // Why none of them is sent anything now; nothing if one may be.
-    std::optional<RefusalReason> whyWithheld() const;
-    // When servers that accept nothing now are expected to; nothing if one does, or none is there.
-    std::optional<Duration> untilAccepted();
-    // Nothing for reasons that don't promise that the request has not run.
+    // Hosts of all targets that could serve the request, including those that admit none now.
+    std::vector<HostId> allCandidateHosts() const;
+    // Whether all of these hosts are at their rate limits or have asked for a pause; nothing if one
+    // admits requests, or all are leaving.
+    std::optional<RefusalReason> reasonWithheld() const;
+    // Time until a host that admits no requests now is expected to; nothing if one does, or there
+    // is none.
+    std::optional<Duration> timeUntilAccepted();
+    // The Retry-After of a refusal; nothing for reasons that don't guarantee that the request was
+    // not executed.
     std::optional<Duration> retryAfter(RefusalReason reason);
-    // The part of what the request's servers accept from all daemons that falls to this one.
-    RequestRate acceptedPart() const;
+    // This daemon's share of the request rate that the request's servers accept from all daemons.
+    RequestRate acceptedRateShare() const;
 
-    bool m_onTrial = false; // It is held back, and may be sent to one server all the same.
-    mutable RequestFingerprint m_fingerprint; // Empty until it was asked for.
-    std::set<HostId> m_tried;
-    int m_refusals = 0;
+    bool m_isTrial = false; // Quarantined, but granted a trial at one server.
+    mutable RequestFingerprint m_fingerprint; // Empty until first used.
+    std::set<HostId> m_triedHosts;
+    int m_notExecutedAnswers = 0;
 };
 
-// A request whose answer is read whole before it is passed on.
-class WholeRun : public Run
+// A request whose response is read completely before it is forwarded.
+class BufferedRequest : public ProxiedRequest
 {
 public:
-    using Run::Run;
+    using ProxiedRequest::ProxiedRequest;
 
 protected:
     AttemptEnd attempt(const Target &target, Yield yield) override;
 
 private:
     Status startCall(const Target &target, Yield yield);
-    Duration headPatience() const;
+    // How long to wait for the response's head before the request is retried elsewhere.
+    Duration maxHeadWait() const;
 };
 
-// A request that is answered by a stream of events.
+// A request whose response is a stream of events.
 //
-// A stream that stands still is kept where it is until another upstream has taken it: the others
-// may be full, and one that only paused would have ended it.
+// If the current upstream's stream stalls, the request is sent to another upstream, the candidate.
+// The stalled stream is cancelled only once the candidate has accepted and become the successor:
+// the other upstreams may be full, and the current one may merely have paused.
 //
-// Watchers are coroutines of their own that refer to the run. After each wait they ask the relay
-// they were started for whether it is over, and touch nothing of the run if it is. The run knows
-// every relay that isn't over (m_underWay) and its destructor releases what is left of them, so
-// that none is missed on any way out.
-class StreamRun : public Run
+// Watchers are separate coroutines that refer to the StreamedRequest. After each wait they check
+// whether the UpstreamStream that they were started for is released, and if so touch nothing of the
+// StreamedRequest, which may be gone. Its destructor releases all streams that are left in
+// m_activeStreams, so that none is missed however the request ends.
+class StreamedRequest : public ProxiedRequest
 {
 public:
-    StreamRun(RunContext &context, HttpExchange &exchange, const IncomingRequest &incoming,
-              AdmittedRequest admitted, MonotonicTime arrival);
-    ~StreamRun() override;
+    StreamedRequest(DispatchContext &context, HttpExchange &exchange,
+                    const IncomingRequest &incoming, AdmittedRequest admitted,
+                    MonotonicTime arrival);
+    ~StreamedRequest() override;
 
 protected:
     AttemptEnd attempt(const Target &target, Yield yield) override;
     std::optional<Target> nextTarget() override;
-    std::optional<RefusalReason> whyNotAgain(AttemptEnd last) override;
+    std::optional<RefusalReason> reasonToStop(AttemptEnd last) override;
     void cancelCalls() override;
-    void abandon() override;
-    void giveUp(RefusalReason reason, Yield yield) override;
+    void cancelAfterException() override;
+    void endWithError(RefusalReason reason, Yield yield) override;
 
 private:
-    // State of one upstream's stream.
-    struct Relay;
+    // The state of one upstream's response stream.
+    struct UpstreamStream;
 
-    std::shared_ptr<Relay> ask(const Target &target);
-    void release(Relay &relay);
+    std::shared_ptr<UpstreamStream> startStream(const Target &target);
+    void releaseStream(UpstreamStream &upstream);
     void releaseAll();
-    void takeHead(Relay &relay, const HttpCall &call) const;
-    void noteNoAnswer(const Relay &relay, const UpstreamCall &call, const Status &failure);
-    AttemptEnd relayEvents(Relay &relay, Yield yield);
-    bool isWhole(const Relay &relay) const;
-    Status passOn(Relay &relay, const std::string &text, Yield yield);
-    void watchForStall(const std::shared_ptr<Relay> &relay);
-    StreamObservation observe(const Relay &relay) const;
-    void logLeft(const Relay &relay, const StreamObservation &stream) const;
-    bool shouldLeave(const Relay &relay);
-    bool payForMove(const Relay &relay);
-    int mayHaveRunWith(const Relay &present) const;
-    bool askAnother(const std::shared_ptr<Relay> &present, Yield yield);
-    void watchAsked(const std::shared_ptr<Relay> &asked, const std::shared_ptr<Relay> &present);
-    bool settle(Relay &asked, const Status &started);
-    void awaitAnother(Yield yield);
-    void dropAnother();
-    // Starts the caller's answer with the head of this upstream's.
-    void beginAnswer(const Relay &relay);
-    AttemptEnd endStream(Relay &relay, Yield yield);
-
-    // Every upstream that was sent the request and isn't released. Invariant: none of them is over.
-    std::vector<std::shared_ptr<Relay>> m_underWay;
-    std::shared_ptr<Relay> m_asked; // Another upstream that has not answered yet; null for none.
-    std::shared_ptr<Relay> m_taken; // The one that took the stream, until it is the present one.
-    Signal m_decided; // m_asked has answered.
+    void decodeHead(UpstreamStream &upstream, const HttpCall &call) const;
+    void recordNoAnswer(const UpstreamStream &upstream, const UpstreamCall &call,
+                        const Status &failure);
+    AttemptEnd forwardEvents(UpstreamStream &upstream, Yield yield);
+    bool isComplete(const UpstreamStream &upstream) const;
+    Status forwardEvent(UpstreamStream &upstream, const std::string &text, Yield yield);
+    void watchCurrent(const std::shared_ptr<UpstreamStream> &upstream);
+    StreamObservation observeStream(const UpstreamStream &upstream) const;
+    void logStreamLeft(const UpstreamStream &upstream, const StreamObservation &stream) const;
+    bool shouldFailOver(const UpstreamStream &upstream);
+    bool prepayRetry(const UpstreamStream &upstream);
+    int mayHaveRunCountWith(const UpstreamStream &current) const;
+    bool tryCandidate(const std::shared_ptr<UpstreamStream> &current, Yield yield);
+    void watchCandidate(const std::shared_ptr<UpstreamStream> &candidate,
+                        const std::shared_ptr<UpstreamStream> &current);
+    bool handleCandidateHead(UpstreamStream &candidate, const Status &started);
+    void awaitCandidate(Yield yield);
+    void dropCandidate();
+    // Starts the response to the caller with this upstream's status and headers.
+    void beginResponse(const UpstreamStream &upstream);
+    AttemptEnd finishResponse(UpstreamStream &upstream, Yield yield);
+
+    // Streams of all upstreams that were sent the request. Invariant: none of them is released.
+    std::vector<std::shared_ptr<UpstreamStream>> m_activeStreams;
+    // Of another upstream that was asked to continue and has not responded yet; null for none.
+    std::shared_ptr<UpstreamStream> m_candidate;
+    // The candidate that accepted, until it becomes the current stream; null for none.
+    std::shared_ptr<UpstreamStream> m_successor;
+    Signal m_candidateDecided; // m_candidate has accepted or failed.
     bool m_headSent = false;
-    EventId m_lastEvent; // That the caller has; of the request before any came.
-    int m_events = 0; // Passed on to the caller.
+    EventId m_lastEvent; // The last that the caller has; initially the one it resumes after.
+    int m_eventsForwarded = 0;
     MonotonicTime m_firstEventAt;
     MonotonicTime m_lastEventAt;
-    Duration m_longestPause {};
+    Duration m_longestEventGap {};
 };
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/internal/streamed_request.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -1,4 +1,4 @@
-// Requests with streamed answers: see proxied_request.h.
+// Requests with streamed responses: see proxied_request.h.
 
 #include <algorithm>
 #include <exception>
@@ -13,380 +13,389 @@
 namespace {
 
 constexpr int statusOk = 200;
-constexpr const char *whyWithdrawn = "servers have ended under the same request";
-// Of a read that begins as the deadline passes, so that bytes at hand are still read.
-constexpr Duration leastReadTimeout = std::chrono::milliseconds(60);
-// A look that comes so much too late was kept from coming, by a pause of the process or by other
-// work on the loop; on a busy daemon timers are late by a few milliseconds.
-constexpr Duration heldUp = std::chrono::milliseconds(100);
-
-// Whether the answer is a stream of the upstream's own, to be passed on event by event.
-bool isRelayable(const AnswerHead &head)
+constexpr const char *withdrawnReason =
+    "the request was quarantined: servers terminated while they ran the same request";
+// Timeout of a read that starts close to the deadline, so that bytes that have arrived are read.
+constexpr Duration minReadTimeout = std::chrono::milliseconds(60);
+// A timer that fires this late was delayed by a pause of the process or by other work on the event
+// loop; on a busy daemon timers are late by a few milliseconds.
+constexpr Duration minProcessPause = std::chrono::milliseconds(100);
+
+// Whether the response is an unmodified stream of the upstream that can be forwarded event by
+// event.
+bool isStreamable(const AnswerHead &head)
 {
     return !head.notExecuted && head.status == statusOk && head.authentic && !head.decoded;
 }
 
 } // namespace
 
-struct StreamRun::Relay
+struct StreamedRequest::UpstreamStream
 {
-    explicit Relay(Target upstream) : target(std::move(upstream)) { }
+    explicit UpstreamStream(Target streamTarget) : target(std::move(streamTarget)) { }
 
     Target target;
     Urgency urgency = Urgency::InTime;
-    std::unique_ptr<UpstreamCall> call; // Until it is the present attempt's.
+    std::unique_ptr<UpstreamCall> call; // Moved to m_call when this becomes the current stream.
     AnswerHead head;
     EventStreamReader reader;
     MonotonicTime sentAt;
-    Duration expected {}; // Until the first event, as it was when it was sent.
-    // When the upstream last sent something, was sent the request, or was waited for anew after the
-    // caller had taken what came.
-    MonotonicTime heardAt;
-    std::optional<TargetUse> use; // Of the upstream; until it is over.
-    bool counted = false; // Among the upstreams that may have run the request.
-    bool begun = false; // Its first event has come.
-    bool passingOn = false; // The caller is waited for, and the upstream's bytes wait meanwhile.
-    bool over = false; // Released; the run may be gone. Asked after each wait of a watcher.
-    bool stoodStill = false; // It was given up for standing still.
-    bool withdrawn = false; // It had not begun when the word came that the request ends servers.
-
-    // What arrived while nothing ran here is not read yet: that time is not the upstream's silence.
-    void leaveOutPause(Duration late, MonotonicTime now)
+    Duration expected {}; // Time to the first event, as predicted when the request was sent.
+    // When the request was sent, data last arrived, or the caller had last accepted an event.
+    MonotonicTime lastActivityAt;
+    std::optional<InFlightGuard> inFlight; // Until it is released.
+    bool countedAsMayHaveRun = false; // In m_mayHaveRunCount.
+    bool begun = false; // Its first event has arrived.
+    bool writingToCaller = false; // The upstream is not read meanwhile.
+    bool released = false; // The StreamedRequest may be gone. Watchers check it after each wait.
+    bool stalled = false; // It was cancelled because it stalled.
+    bool withdrawn = false; // It was cancelled before its first event: the request is quarantined.
+
+    // Data that arrived during a pause of this process is not read yet, so the pause doesn't count
+    // as silence of the upstream.
+    void excludeProcessPause(Duration delay, MonotonicTime now)
     {
-        if (late >= heldUp)
-            heardAt = std::min(now, heardAt + late);
+        if (delay >= minProcessPause)
+            lastActivityAt = std::min(now, lastActivityAt + delay);
     }
 };
 
-StreamRun::StreamRun(RunContext &context, HttpExchange &exchange, const IncomingRequest &incoming,
-                     AdmittedRequest admitted, MonotonicTime arrival)
-    : Run(context, exchange, incoming, std::move(admitted), arrival), m_decided(context.io),
-      m_lastEvent(incoming.resumeAfter), m_lastEventAt(arrival)
+StreamedRequest::StreamedRequest(DispatchContext &context, HttpExchange &exchange,
+                                 const IncomingRequest &incoming, AdmittedRequest admitted,
+                                 MonotonicTime arrival)
+    : ProxiedRequest(context, exchange, incoming, std::move(admitted), arrival),
+      m_candidateDecided(context.io), m_lastEvent(incoming.resumeAfter), m_lastEventAt(arrival)
 { }
 
-StreamRun::~StreamRun()
+StreamedRequest::~StreamedRequest()
 {
     releaseAll();
 }
 
-void StreamRun::releaseAll()
+void StreamedRequest::releaseAll()
 {
-    while (!m_underWay.empty()) {
-        const std::shared_ptr<Relay> left = m_underWay.back();
-        release(*left);
+    while (!m_activeStreams.empty()) {
+        const std::shared_ptr<UpstreamStream> remaining = m_activeStreams.back();
+        releaseStream(*remaining);
     }
 }
 
-std::optional<Target> StreamRun::nextTarget()
+std::optional<Target> StreamedRequest::nextTarget()
 {
-    return m_taken ? std::optional<Target>(m_taken->target) : takeTarget();
+    return m_successor ? std::optional<Target>(m_successor->target) : reserveTarget();
 }
 
-// What another upstream has taken is paid for, and may have run there.
-std::optional<RefusalReason> StreamRun::whyNotAgain(AttemptEnd last)
+// A retry that a successor has accepted is already charged to the retry budget.
+std::optional<RefusalReason> StreamedRequest::reasonToStop(AttemptEnd last)
 {
-    if (!m_taken)
-        return Run::whyNotAgain(last);
-    m_repeatPaid = false;
+    if (!m_successor)
+        return ProxiedRequest::reasonToStop(last);
+    m_retryPrepaid = false;
     if (timeLeft() <= Duration::zero())
         return RefusalReason::DeadlineExceeded;
     return std::nullopt;
 }
 
-void StreamRun::cancelCalls()
+void StreamedRequest::cancelCalls()
 {
-    Run::cancelCalls();
-    for (const std::shared_ptr<Relay> &other : { m_asked, m_taken }) {
+    ProxiedRequest::cancelCalls();
+    for (const std::shared_ptr<UpstreamStream> &other : { m_candidate, m_successor }) {
         if (other)
             other->call->cancel();
     }
 }
 
-void StreamRun::abandon()
+void StreamedRequest::cancelAfterException()
 {
-    for (const std::shared_ptr<Relay> &relay : m_underWay) {
-        const UpstreamCall *call = relay->call ? relay->call.get() : m_call.get();
+    for (const std::shared_ptr<UpstreamStream> &upstream : m_activeStreams) {
+        const UpstreamCall *call = upstream->call ? upstream->call.get() : m_call.get();
         const bool sent = call != nullptr && call->sent();
-        m_sends += sent ? 1 : 0;
-        m_mayHaveRun += sent && !relay->counted ? 1 : 0;
+        m_sendCount += sent ? 1 : 0;
+        m_mayHaveRunCount += sent && !upstream->countedAsMayHaveRun ? 1 : 0;
     }
     if (m_call)
         m_call->cancel();
     releaseAll();
 }
 
-AttemptEnd StreamRun::attempt(const Target &target, Yield yield)
+AttemptEnd StreamedRequest::attempt(const Target &target, Yield yield)
 {
-    const bool taken = m_taken != nullptr;
-    const std::shared_ptr<Relay> relay = taken ? std::exchange(m_taken, nullptr) : ask(target);
-    m_call = std::move(relay->call);
-    watchForStall(relay);
-    const Status started = taken ? Status(Done {}) : m_call->start(yield);
-    m_sends += m_call->sent() ? 1 : 0;
+    const bool tookOver = m_successor != nullptr;
+    const std::shared_ptr<UpstreamStream> upstream =
+        tookOver ? std::exchange(m_successor, nullptr) : startStream(target);
+    m_call = std::move(upstream->call);
+    watchCurrent(upstream);
+    const Status started = tookOver ? Status(Done {}) : m_call->start(yield);
+    m_sendCount += m_call->sent() ? 1 : 0;
     AttemptEnd end = AttemptEnd::Done;
     if (started.ok()) {
-        if (!taken)
-            takeHead(*relay, *m_call);
-        end = relayEvents(*relay, yield);
+        if (!tookOver)
+            decodeHead(*upstream, *m_call);
+        end = forwardEvents(*upstream, yield);
     } else {
-        noteNoAnswer(*relay, *m_call, started);
-        end = endOf(started);
+        recordNoAnswer(*upstream, *m_call, started);
+        end = attemptEndFor(started);
     }
     if (end == AttemptEnd::Failed && m_call->endedByPeer()) {
-        relay->passingOn = true; // It isn't its silence that is waited for.
-        noteConnectionEnded(target, relay->sentAt, yield);
+        upstream->writingToCaller = true; // Not stalled: the wait is for the crash check.
+        awaitCrashVerdict(target, upstream->sentAt, yield);
     }
     if (end != AttemptEnd::Done)
-        awaitAnother(yield);
-    dropAnother();
+        awaitCandidate(yield);
+    dropCandidate();
     m_call->cancel();
-    release(*relay);
+    releaseStream(*upstream);
     return end;
 }
 
-// Sends the request to an upstream; its answer is still to come.
-std::shared_ptr<StreamRun::Relay> StreamRun::ask(const Target &target)
+// Creates the call to an upstream and the state of its stream. The call isn't started yet.
+std::shared_ptr<StreamedRequest::UpstreamStream> StreamedRequest::startStream(const Target &target)
 {
     TargetTable &targets = m_context.state.targets;
-    auto relay = std::make_shared<Relay>(target);
-    relay->sentAt = now();
-    relay->heardAt = relay->sentAt;
-    relay->expected = targets.expectedTime(target.host, m_incoming.promptTokens, relay->sentAt);
-    relay->urgency = urgencyOf(
-        { relay->expected, m_admitted.route->objective, relay->sentAt - m_arrival, m_headSent },
-        m_context.options.urgency);
-    logTarget(target, relay->expected, relay->urgency);
-    relay->call = makeCall(target, m_lastEvent, timeLeft(), relay->urgency);
-    relay->use.emplace(targets, target.host, m_incoming.promptTokens, relay->urgency);
-    m_underWay.push_back(relay);
-    return relay;
+    auto upstream = std::make_shared<UpstreamStream>(target);
+    upstream->sentAt = now();
+    upstream->lastActivityAt = upstream->sentAt;
+    upstream->expected =
+        targets.expectedTime(target.host, m_incoming.promptTokens, upstream->sentAt);
+    upstream->urgency = urgencyOf({ upstream->expected, m_admitted.route->objective,
+                                    upstream->sentAt - m_arrival, m_headSent },
+                                  m_context.options.urgency);
+    logTarget(target, upstream->expected, upstream->urgency);
+    upstream->call = makeCall(target, m_lastEvent, timeLeft(), upstream->urgency);
+    upstream->inFlight.emplace(targets, target.host, m_incoming.promptTokens, upstream->urgency);
+    m_activeStreams.push_back(upstream);
+    return upstream;
 }
 
-// The upstream has nothing more to do for this request.
-void StreamRun::release(Relay &relay)
+// Cancels what is left of the upstream's work for this request.
+void StreamedRequest::releaseStream(UpstreamStream &upstream)
 {
-    relay.over = true;
-    if (relay.call)
-        relay.call->cancel();
-    relay.use.reset();
-    eraseIf(m_underWay, [&relay](const auto &other) { return other.get() == &relay; });
+    upstream.released = true;
+    if (upstream.call)
+        upstream.call->cancel();
+    upstream.inFlight.reset();
+    eraseIf(m_activeStreams, [&upstream](const auto &other) { return other.get() == &upstream; });
 }
 
-void StreamRun::takeHead(Relay &relay, const HttpCall &call) const
+void StreamedRequest::decodeHead(UpstreamStream &upstream, const HttpCall &call) const
 {
-    relay.head = m_context.codec.decodeAnswer(call.status(), call.headers());
+    upstream.head = m_context.codec.decodeAnswer(call.status(), call.headers());
 }
 
-void StreamRun::noteNoAnswer(const Relay &relay, const UpstreamCall &call, const Status &failure)
+void StreamedRequest::recordNoAnswer(const UpstreamStream &upstream, const UpstreamCall &call,
+                                     const Status &failure)
 {
-    m_mayHaveRun += call.sent() ? 1 : 0;
+    m_mayHaveRunCount += call.sent() ? 1 : 0;
     if (callerGone())
         return;
-    if (relay.withdrawn) {
-        logAttempt(relay.target, "withdrawn", whyWithdrawn);
+    if (upstream.withdrawn) {
+        logFailedAttempt(upstream.target, "withdrawn", withdrawnReason);
         return;
     }
     if (call.withheld()) {
-        noteWithheld(relay.target);
+        logWithheld(upstream.target);
         return;
     }
-    avoid(relay.target);
-    logAttempt(relay.target, relay.stoodStill ? "stood_still" : "no_answer",
-               failure.error().message());
+    avoid(upstream.target);
+    logFailedAttempt(upstream.target, upstream.stalled ? "stood_still" : "no_answer",
+                     failure.error().message());
 }
 
-// Looks after the attempt while it waits for the upstream; if it stands still, asks another one,
-// and ends it once that has taken the stream.
-void StreamRun::watchForStall(const std::shared_ptr<Relay> &relay)
+// Watches the current stream. If it stalls, sends the request to a candidate, and cancels the
+// current stream once the candidate has accepted.
+void StreamedRequest::watchCurrent(const std::shared_ptr<UpstreamStream> &upstream)
 {
-    spawnCoroutine(m_context.io, [this, relay, &context = m_context](Yield yield) {
-        Duration pause = context.options.stallLook;
+    spawnCoroutine(m_context.io, [this, upstream, &context = m_context](Yield yield) {
+        Duration checkInterval = context.options.stallLook;
         while (true) {
-            const MonotonicTime dueAt = context.clock.now() + pause;
-            sleepFor(context.io, pause, yield);
-            if (relay->over)
+            const MonotonicTime expectedAt = context.clock.now() + checkInterval;
+            sleepFor(context.io, checkInterval, yield);
+            if (upstream->released)
                 return;
-            relay->leaveOutPause(now() - dueAt, now());
-            if (!relay->begun && isQuarantined()) {
-                relay->withdrawn = true;
+            upstream->excludeProcessPause(now() - expectedAt, now());
+            if (!upstream->begun && isQuarantined()) {
+                upstream->withdrawn = true;
                 m_call->cancel();
                 return;
             }
-            pause = context.options.stallLook;
-            if (!shouldLeave(*relay))
+            checkInterval = context.options.stallLook;
+            if (!shouldFailOver(*upstream))
                 continue;
-            const bool taken = askAnother(relay, yield);
-            if (relay->over)
+            const bool tookOver = tryCandidate(upstream, yield);
+            if (upstream->released)
                 return;
-            if (!taken) {
-                pause = context.options.retryAfter;
+            if (!tookOver) {
+                checkInterval = context.options.retryAfter;
                 continue;
             }
-            relay->stoodStill = true;
+            upstream->stalled = true;
             m_call->cancel();
             return;
         }
     });
 }
 
-// Whether the stream stands still and another upstream may be asked, which is paid for then.
-bool StreamRun::shouldLeave(const Relay &relay)
+// Whether the stream has stalled and a candidate may be tried. If so, the retry has been charged to
+// the retry budget.
+bool StreamedRequest::shouldFailOver(const UpstreamStream &upstream)
 {
-    if (relay.passingOn)
+    if (upstream.writingToCaller)
         return false;
-    const StreamObservation stream = observe(relay);
+    const StreamObservation stream = observeStream(upstream);
     if (!standsStill(stream, m_context.options.stall))
         return false;
-    m_context.state.suspicions.note(relay.target.replica, now());
-    if (!payForMove(relay))
+    m_context.state.suspicions.note(upstream.target.replica, now());
+    if (!prepayRetry(upstream))
         return false;
-    logLeft(relay, stream);
+    logStreamLeft(upstream, stream);
     return true;
 }
 
-// Asks another upstream to go on with the stream while the present one keeps it; true once one has
-// taken it. If the run ended meanwhile, the present attempt is over. What is thrown meanwhile is of
-// no harm to the stream, which its present upstream goes on with.
-bool StreamRun::askAnother(const std::shared_ptr<Relay> &present, Yield yield)
+// Asks another upstream to continue the stream while the current one keeps it; true if it has
+// accepted. If the request ended meanwhile, `current` is released. An exception only ends this try;
+// the current upstream's stream goes on.
+bool StreamedRequest::tryCandidate(const std::shared_ptr<UpstreamStream> &current, Yield yield)
 {
-    const std::optional<Target> target = takeTarget();
+    const std::optional<Target> target = reserveTarget();
     if (!target)
         return false;
-    std::shared_ptr<Relay> asked;
+    std::shared_ptr<UpstreamStream> candidate;
     std::optional<std::string> failure;
     try {
-        asked = ask(*target);
-        m_asked = asked;
-        watchAsked(asked, present);
-        const Status started = asked->call->start(yield);
-        if (asked->over)
+        candidate = startStream(*target);
+        m_candidate = candidate;
+        watchCandidate(candidate, current);
+        const Status started = candidate->call->start(yield);
+        if (candidate->released)
             return false;
-        if (asked->call->endedByPeer()) {
-            noteConnectionEnded(*target, asked->sentAt, yield);
-            if (asked->over) // The run may be gone.
+        if (candidate->call->endedByPeer()) {
+            awaitCrashVerdict(*target, candidate->sentAt, yield);
+            if (candidate->released) // The StreamedRequest may be gone.
                 return false;
         }
-        if (settle(*asked, started))
-            m_taken = asked;
+        if (handleCandidateHead(*candidate, started))
+            m_successor = candidate;
     } catch (const std::exception &e) {
         failure = e.what();
     }
-    if (asked && asked->over)
+    if (candidate && candidate->released)
         return false;
     if (failure) {
-        logAttempt(*target, "failed_inside", *failure);
-        dropAnother();
+        logFailedAttempt(*target, "failed_inside", *failure);
+        dropCandidate();
     } else {
-        m_asked = nullptr;
-        if (m_taken == nullptr)
-            release(*asked);
+        m_candidate = nullptr;
+        if (m_successor == nullptr)
+            releaseStream(*candidate);
     }
-    m_decided.notify(); // On every way: the present attempt may wait for it.
-    return m_taken != nullptr;
+    m_candidateDecided.notify(); // In all cases: the current attempt may wait for it.
+    return m_successor != nullptr;
 }
 
-// Looks after another upstream while its answer is waited for; if it stands still too, it is given
-// up where a third one may be asked.
-void StreamRun::watchAsked(const std::shared_ptr<Relay> &asked,
-                           const std::shared_ptr<Relay> &present)
+// Watches a candidate until it responds. If it stalls too, it is cancelled where a third upstream
+// may be asked.
+void StreamedRequest::watchCandidate(const std::shared_ptr<UpstreamStream> &candidate,
+                                     const std::shared_ptr<UpstreamStream> &current)
 {
-    spawnCoroutine(m_context.io, [this, asked, present, &context = m_context](Yield yield) {
-        const Duration pause = context.options.stallLook;
+    spawnCoroutine(m_context.io, [this, candidate, current, &context = m_context](Yield yield) {
+        const Duration checkInterval = context.options.stallLook;
         while (true) {
-            const MonotonicTime dueAt = context.clock.now() + pause;
-            sleepFor(context.io, pause, yield);
-            if (asked->over || m_asked != asked)
+            const MonotonicTime expectedAt = context.clock.now() + checkInterval;
+            sleepFor(context.io, checkInterval, yield);
+            if (candidate->released || m_candidate != candidate)
                 return;
-            asked->leaveOutPause(now() - dueAt, now());
+            candidate->excludeProcessPause(now() - expectedAt, now());
             if (isQuarantined()) {
-                asked->withdrawn = true;
-                asked->call->cancel();
+                candidate->withdrawn = true;
+                candidate->call->cancel();
                 return;
             }
-            if (!standsStill(observe(*asked), context.options.stall))
+            if (!standsStill(observeStream(*candidate), context.options.stall))
                 continue;
-            context.state.suspicions.note(asked->target.replica, now());
-            if (!mayMove(mayHaveRunWith(*present) + 1))
+            context.state.suspicions.note(candidate->target.replica, now());
+            if (!mayFailOver(mayHaveRunCountWith(*current) + 1))
                 continue;
-            asked->stoodStill = true;
-            asked->call->cancel();
+            candidate->stalled = true;
+            candidate->call->cancel();
             return;
         }
     });
 }
 
-// What another upstream's answer means; true if it goes on with the stream. One that does not used
-// up the repeat.
-bool StreamRun::settle(Relay &asked, const Status &started)
+// Evaluates a candidate's response head; true if it continues the stream. If it doesn't, the
+// prepaid retry is used up.
+bool StreamedRequest::handleCandidateHead(UpstreamStream &candidate, const Status &started)
 {
     if (!started.ok()) {
-        m_repeatPaid = false;
-        m_sends += asked.call->sent() ? 1 : 0;
-        noteNoAnswer(asked, *asked.call, started);
+        m_retryPrepaid = false;
+        m_sendCount += candidate.call->sent() ? 1 : 0;
+        recordNoAnswer(candidate, *candidate.call, started);
         return false;
     }
-    takeHead(asked, *asked.call);
-    if (isRelayable(asked.head))
+    decodeHead(candidate, *candidate.call);
+    if (isStreamable(candidate.head))
         return true;
-    m_repeatPaid = false;
-    ++m_sends;
-    if (asked.head.notExecuted) {
-        noteRefusal(asked.target, asked.head);
+    m_retryPrepaid = false;
+    ++m_sendCount;
+    if (candidate.head.notExecuted) {
+        handleNotExecuted(candidate.target, candidate.head);
         return false;
     }
-    ++m_mayHaveRun;
-    m_context.state.targets.failed(asked.target.host, now());
-    logAttempt(asked.target, "unusable", "status " + std::to_string(asked.head.status));
+    ++m_mayHaveRunCount;
+    m_context.state.targets.failed(candidate.target.host, now());
+    logFailedAttempt(candidate.target, "unusable",
+                     "status " + std::to_string(candidate.head.status));
     return false;
 }
 
-// The present attempt has failed while another upstream is being asked: what that one says comes
-// first.
-void StreamRun::awaitAnother(Yield yield)
+// Waits for a candidate that has not responded when the current attempt fails: its response decides
+// how the request goes on.
+void StreamedRequest::awaitCandidate(Yield yield)
 {
-    while (m_asked && !callerGone() && timeLeft() > Duration::zero())
-        m_decided.wait(timeLeft(), yield);
+    while (m_candidate && !callerGone() && timeLeft() > Duration::zero())
+        m_candidateDecided.wait(timeLeft(), yield);
 }
 
-// The present upstream goes on, or the request has ended: another one isn't needed. It may have
-// begun to run there.
-void StreamRun::dropAnother()
+// Cancels the candidate, which is not needed since the current upstream goes on or the request has
+// ended. The candidate may have executed the request.
+void StreamedRequest::dropCandidate()
 {
-    const std::shared_ptr<Relay> dropped = std::exchange(m_asked, nullptr);
+    const std::shared_ptr<UpstreamStream> dropped = std::exchange(m_candidate, nullptr);
     if (!dropped)
         return;
     const int sent = dropped->call->sent() ? 1 : 0;
-    m_sends += sent;
-    m_mayHaveRun += sent;
-    m_repeatPaid = false;
-    release(*dropped);
+    m_sendCount += sent;
+    m_mayHaveRunCount += sent;
+    m_retryPrepaid = false;
+    releaseStream(*dropped);
 }
 
-StreamObservation StreamRun::observe(const Relay &relay) const
+StreamObservation StreamedRequest::observeStream(const UpstreamStream &upstream) const
 {
     const TargetTable &targets = m_context.state.targets;
-    const HostId &host = relay.target.host;
-    const int others = targets.streamsUnderWay(host) - (relay.begun ? 1 : 0);
+    const HostId &host = upstream.target.host;
+    const int others = targets.streamsUnderWay(host) - (upstream.begun ? 1 : 0);
     StreamObservation stream;
-    stream.begun = relay.begun;
-    stream.waited = now() - relay.heardAt;
-    stream.expected = relay.expected;
+    stream.begun = upstream.begun;
+    stream.waited = now() - upstream.lastActivityAt;
+    stream.expected = upstream.expected;
     stream.objective = m_admitted.route->objective;
     stream.pauseObjective = m_admitted.route->pauseObjective;
     stream.othersUnderWay = others > 0;
     stream.standstill = targets.standstillOf(host);
-    stream.quiet = now() - std::max(targets.lastProgress(host), relay.sentAt);
+    stream.quiet = now() - std::max(targets.lastProgress(host), upstream.sentAt);
     return stream;
 }
 
-// What decided that a stream is left, so that a healthy upstream that was left can be told from a
-// dead one afterwards.
-void StreamRun::logLeft(const Relay &relay, const StreamObservation &stream) const
+// Logs the values on which the decision to leave a stream was based, to tell afterwards whether the
+// upstream was healthy or dead.
+void StreamedRequest::logStreamLeft(const UpstreamStream &upstream,
+                                    const StreamObservation &stream) const
 {
     m_context.log.write("stream_left", LogWeight::Failure,
                         { { "request", m_incoming.request.text() },
-                          { "host", relay.target.host.text() },
-                          { "replica", relay.target.replica.text() },
+                          { "host", upstream.target.host.text() },
+                          { "replica", upstream.target.replica.text() },
                           { "begun", stream.begun },
                           { "last_event", m_lastEvent.text() },
                           { "waited_ms", toMilliseconds(stream.waited) },
@@ -396,101 +405,104 @@
                           { "left_ms", toMilliseconds(timeLeft()) } });
 }
 
-// How many upstreams may have run the request, the present one among them.
-int StreamRun::mayHaveRunWith(const Relay &present) const
+// How many upstreams may have executed the request, including the current one.
+int StreamedRequest::mayHaveRunCountWith(const UpstreamStream &current) const
 {
-    return m_mayHaveRun + (present.counted ? 0 : 1);
+    return m_mayHaveRunCount + (current.countedAsMayHaveRun ? 0 : 1);
 }
 
-// Takes the repeat from the budget before another upstream is asked: without it, waiting is better.
-bool StreamRun::payForMove(const Relay &relay)
+// Charges the retry budget before a candidate is tried. False if it is exhausted or no failover is
+// possible: then waiting is better.
+bool StreamedRequest::prepayRetry(const UpstreamStream &upstream)
 {
-    if (!mayMove(mayHaveRunWith(relay)))
+    if (!mayFailOver(mayHaveRunCountWith(upstream)))
         return false;
-    m_repeatPaid = m_context.state.budgetOf(m_admitted.service).take(now());
-    return m_repeatPaid;
+    m_retryPrepaid = m_context.state.budgetOf(m_admitted.service).take(now());
+    return m_retryPrepaid;
 }
 
-// Whether the caller has the whole stream once the upstream's answer has ended. A rest without an
-// event is whole too, as the caller had the last one and only the end had not come; but not where
-// nothing but the close of its connection ends it: an upstream that stops closes it as well.
-bool StreamRun::isWhole(const Relay &relay) const
+// Whether the caller has the complete stream once the upstream's response has ended. A resumed
+// response without any event is complete too: the caller had the last event, and only the end of
+// the stream was missing. But not if the close of the connection marks the end, since an upstream
+// that stops closes it as well.
+bool StreamedRequest::isComplete(const UpstreamStream &upstream) const
 {
-    if (relay.reader.rest() > 0)
+    if (upstream.reader.rest() > 0)
         return false;
-    return relay.begun || (!m_lastEvent.empty() && !m_call->endsWithConnection());
+    return upstream.begun || (!m_lastEvent.empty() && !m_call->endsWithConnection());
 }
 
-AttemptEnd StreamRun::relayEvents(Relay &relay, Yield yield)
+AttemptEnd StreamedRequest::forwardEvents(UpstreamStream &upstream, Yield yield)
 {
-    const Target &target = relay.target;
+    const Target &target = upstream.target;
     TargetTable &targets = m_context.state.targets;
-    if (relay.head.notExecuted) {
-        static_cast<void>(readWhole(yield)); // Of no use to anybody.
-        return noteRefusal(target, relay.head);
+    if (upstream.head.notExecuted) {
+        static_cast<void>(readBody(yield)); // Discarded; read so that the connection is kept.
+        return handleNotExecuted(target, upstream.head);
     }
-    ++m_mayHaveRun;
-    relay.counted = true;
-    if (!isRelayable(relay.head)) {
-        Result<std::string> body = readWhole(yield);
+    ++m_mayHaveRunCount;
+    upstream.countedAsMayHaveRun = true;
+    if (!isStreamable(upstream.head)) {
+        Result<std::string> body = readBody(yield);
         targets.failed(target.host, now());
-        const bool deliverable = body.ok() && relay.head.authentic && !relay.head.decoded;
-        if (!deliverable || m_headSent || (relay.head.status >= 500 && mayMove(m_mayHaveRun))) {
-            logAttempt(target, "unusable", "status " + std::to_string(relay.head.status));
+        const bool deliverable = body.ok() && upstream.head.authentic && !upstream.head.decoded;
+        if (!deliverable || m_headSent
+            || (upstream.head.status >= 500 && mayFailOver(m_mayHaveRunCount))) {
+            logFailedAttempt(target, "unusable", "status " + std::to_string(upstream.head.status));
             return AttemptEnd::Failed;
         }
-        dropAnother();
-        relay.passingOn = true;
-        static_cast<void>(deliver(relay.head, std::move(body.value()), yield));
+        dropCandidate();
+        upstream.writingToCaller = true;
+        static_cast<void>(sendResponse(upstream.head, std::move(body.value()), yield));
         logEnd("answered", LogWeight::Failure,
-               { { "host", target.host.text() }, { "status", relay.head.status } });
-        countEnd("server_failure");
+               { { "host", target.host.text() }, { "status", upstream.head.status } });
+        countOutcome("server_failure");
         return AttemptEnd::Done;
     }
     std::string piece;
     while (true) {
         piece.clear();
-        m_call->setReadTimeout(std::max(timeLeft(), leastReadTimeout));
+        m_call->setReadTimeout(std::max(timeLeft(), minReadTimeout));
         const Result<std::size_t> got = m_call->read(piece, yield);
         if (callerGone())
             return AttemptEnd::Failed;
-        if (!got.ok() && relay.withdrawn) {
-            logAttempt(target, "withdrawn", whyWithdrawn);
+        if (!got.ok() && upstream.withdrawn) {
+            logFailedAttempt(target, "withdrawn", withdrawnReason);
             return AttemptEnd::Failed;
         }
         if (!got.ok()) {
             avoid(target);
-            logAttempt(target, relay.stoodStill ? "stood_still" : "broke_off",
-                       got.error().message());
+            logFailedAttempt(target, upstream.stalled ? "stood_still" : "broke_off",
+                             got.error().message());
             return AttemptEnd::Failed;
         }
         if (got.value() == 0) {
-            if (isWhole(relay))
-                return endStream(relay, yield);
-            logAttempt(target, "cut_short",
-                       "the answer ended with " + std::to_string(relay.reader.rest())
-                           + " bytes of an event, after event " + m_lastEvent.text());
+            if (isComplete(upstream))
+                return finishResponse(upstream, yield);
+            logFailedAttempt(target, "cut_short",
+                             "the answer ended with " + std::to_string(upstream.reader.rest())
+                                 + " bytes of an event, after event " + m_lastEvent.text());
             if (m_call->endsWithConnection())
-                noteConnectionEnded(target, relay.sentAt, yield);
+                awaitCrashVerdict(target, upstream.sentAt, yield);
             return AttemptEnd::Failed;
         }
-        dropAnother();
-        relay.heardAt = now();
+        dropCandidate();
+        upstream.lastActivityAt = now();
         targets.progressed(target.host, now());
-        relay.reader.feed(piece);
-        while (const std::optional<StreamEvent> event = relay.reader.next()) {
-            if (!relay.begun) {
-                relay.begun = true;
-                relay.use->begin(now() - relay.sentAt, relay.expected, now());
+        upstream.reader.feed(piece);
+        while (const std::optional<StreamEvent> event = upstream.reader.next()) {
+            if (!upstream.begun) {
+                upstream.begun = true;
+                upstream.inFlight->begin(now() - upstream.sentAt, upstream.expected, now());
             }
             if (!event->id.empty() && alreadyDelivered(m_lastEvent, event->id))
                 continue;
             if (!event->id.empty() && !followsInOrder(m_lastEvent, event->id)) {
-                logAttempt(target, "out_of_order",
-                           "event " + event->id.text() + " after " + m_lastEvent.text());
+                logFailedAttempt(target, "out_of_order",
+                                 "event " + event->id.text() + " after " + m_lastEvent.text());
                 return AttemptEnd::Failed;
             }
-            if (!passOn(relay, event->text, yield).ok())
+            if (!forwardEvent(upstream, event->text, yield).ok())
                 return AttemptEnd::Failed;
             if (!event->id.empty())
                 m_lastEvent = event->id;
@@ -498,9 +510,9 @@
     }
 }
 
-void StreamRun::beginAnswer(const Relay &relay)
+void StreamedRequest::beginResponse(const UpstreamStream &upstream)
 {
-    m_exchange.beginStream(relay.head.status, relay.head.headers);
+    m_exchange.beginStream(upstream.head.status, upstream.head.headers);
     m_headSent = true;
     m_firstEventAt = now();
     m_context.metrics.observe(
@@ -508,55 +520,55 @@
         m_firstEventAt - m_arrival, m_firstEventAt);
     m_context.log.write("first_event", LogWeight::Routine,
                         { { "request", m_incoming.request.text() },
-                          { "host", relay.target.host.text() },
-                          { "expected_ms", toMilliseconds(relay.expected) },
+                          { "host", upstream.target.host.text() },
+                          { "expected_ms", toMilliseconds(upstream.expected) },
                           { "age_ms", toMilliseconds(m_firstEventAt - m_arrival) } });
 }
 
-Status StreamRun::passOn(Relay &relay, const std::string &text, Yield yield)
+Status StreamedRequest::forwardEvent(UpstreamStream &upstream, const std::string &text, Yield yield)
 {
     if (m_headSent)
-        m_longestPause = std::max(m_longestPause, now() - m_lastEventAt);
+        m_longestEventGap = std::max(m_longestEventGap, now() - m_lastEventAt);
     else
-        beginAnswer(relay);
+        beginResponse(upstream);
     m_lastEventAt = now();
-    ++m_events;
-    relay.passingOn = true;
+    ++m_eventsForwarded;
+    upstream.writingToCaller = true;
     Status written = m_exchange.write(text, yield);
-    relay.passingOn = false;
-    relay.heardAt = now();
+    upstream.writingToCaller = false;
+    upstream.lastActivityAt = now();
     return written;
 }
 
-AttemptEnd StreamRun::endStream(Relay &relay, Yield yield)
+AttemptEnd StreamedRequest::finishResponse(UpstreamStream &upstream, Yield yield)
 {
-    dropAnother();
-    relay.passingOn = true;
-    m_context.state.targets.succeeded(relay.target.host, now());
+    dropCandidate();
+    upstream.writingToCaller = true;
+    m_context.state.targets.succeeded(upstream.target.host, now());
     noteAnswered();
     if (!m_headSent)
-        beginAnswer(relay);
-    static_cast<void>(m_exchange.finish(yield)); // A caller that is gone was noted by the server.
+        beginResponse(upstream);
+    static_cast<void>(m_exchange.finish(yield)); // The HTTP server notes a failure.
     logEnd("answered", LogWeight::Routine,
-           { { "host", relay.target.host.text() },
+           { { "host", upstream.target.host.text() },
              { "status", statusOk },
-             { "events", m_events },
+             { "events", m_eventsForwarded },
              { "first_event_ms", toMilliseconds(m_firstEventAt - m_arrival) },
-             { "longest_pause_ms", toMilliseconds(m_longestPause) } });
-    countEnd("served");
+             { "longest_pause_ms", toMilliseconds(m_longestEventGap) } });
+    countOutcome("served");
     return AttemptEnd::Done;
 }
 
-void StreamRun::giveUp(RefusalReason reason, Yield yield)
+void StreamedRequest::endWithError(RefusalReason reason, Yield yield)
 {
     if (!m_headSent) {
-        Run::giveUp(reason, yield);
+        ProxiedRequest::endWithError(reason, yield);
         return;
     }
-    // The caller has a part of the answer: it must not look whole.
+    // The caller has a part of the response, which must not look complete.
     logEnd("stream_broken_off", LogWeight::Failure,
            { { "reason", toString(reason) }, { "last_event", m_lastEvent.text() } });
-    countEnd("broken_off");
+    countOutcome("broken_off");
     m_exchange.abort();
 }
 
