--- a/ramphinge/dispatch/dispatcher.h
+++ b/ramphinge/dispatch/dispatcher.h
@@ -30,7 +30,7 @@
     // A request that must not be executed twice reuses an idle connection only if that was used
     // this recently: the server may be closing an older one.
     Duration maxIdleAtMostOnce = std::chrono::milliseconds(1500);
-    // Share of the time left that a request with a whole response waits for the response's head
+    // Share of the time left that a request with a buffered response waits for the response's head
     // before it is retried elsewhere, if it may be.
     double headTimeoutShare = 0.4;
     StallOptions stall;
@@ -38,13 +38,13 @@
     Duration stallLook = std::chrono::milliseconds(60);
     UrgencyOptions urgency;
     // After this many responses with the promise that the request was not executed, it is refused.
-    int maxNotExecutedAnswers = 3;
+    int maxNotExecutedResponses = 3;
     // Retry-After of a refusal, randomly lengthened by up to the share `retryAfterSpread`. After a
     // failed attempt to move a stalled stream, the next one starts this much later.
     Duration retryAfter = std::chrono::milliseconds(250);
     double retryAfterSpread = 0.8;
     // The same for a quarantined request. It stays quarantined until an operator releases it, or a
-    // complete response at another daemon proves it harmless.
+    // complete response of a server proves it harmless.
     Duration retryAfterQuarantine = std::chrono::minutes(1);
     CrashWatchOptions crashWatch;
     std::size_t maxWholeAnswerBytes = 16 * 1024 * 1024;
--- a/ramphinge/dispatch/internal/buffered_request.cpp
+++ b/ramphinge/dispatch/internal/buffered_request.cpp
@@ -68,7 +68,7 @@
         targets.failed(target.host, now());
         if (!callerGone())
             logFailedAttempt(target, "unusable",
-                             body.ok() ? "the answer is not authentic" : body.error().message());
+                             body.ok() ? "the response is not authentic" : body.error().message());
         if (m_call->endedByPeer())
             awaitCrashVerdict(target, sentAt, yield);
         return AttemptEnd::Failed;
--- a/ramphinge/dispatch/internal/proxied_request.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -176,7 +176,7 @@
     if (isQuarantined())
         return finalReason();
     if (last == AttemptEnd::NotExecuted
-        && ++m_notExecutedAnswers >= m_context.options.maxNotExecutedAnswers)
+        && ++m_notExecutedResponses >= m_context.options.maxNotExecutedResponses)
         return finalReason();
     // Without a send before, the next attempt is not a retry.
     const bool paid = std::exchange(m_retryPrepaid, false);
--- a/ramphinge/dispatch/internal/proxied_request.h
+++ b/ramphinge/dispatch/internal/proxied_request.h
@@ -164,8 +164,8 @@
     RefusalReason finalReason() const;
     // Hosts of all targets that could serve the request, including those that admit none now.
     std::vector<HostId> allCandidateHosts() const;
-    // Whether all of these hosts are at their rate limits or have asked for a pause; nothing if one
-    // admits requests, or all are leaving.
+    // RateLimited or BackingOff if none of these hosts admits requests now; nothing if one does, or
+    // all are leaving.
     std::optional<RefusalReason> reasonWithheld() const;
     // Time until a host that admits no requests now is expected to; nothing if one does, or there
     // is none.
@@ -179,7 +179,7 @@
     bool m_isTrial = false; // Quarantined, but granted a trial at one server.
     mutable RequestFingerprint m_fingerprint; // Empty until first used.
     std::set<HostId> m_triedHosts;
-    int m_notExecutedAnswers = 0;
+    int m_notExecutedResponses = 0;
 };
 
 // A request whose response is read completely before it is forwarded.
@@ -231,8 +231,8 @@
     void releaseStream(UpstreamStream &upstream);
     void releaseAll();
     void decodeHead(UpstreamStream &upstream, const HttpCall &call) const;
-    void recordNoAnswer(const UpstreamStream &upstream, const UpstreamCall &call,
-                        const Status &failure);
+    void recordNoResponse(const UpstreamStream &upstream, const UpstreamCall &call,
+                          const Status &failure);
     AttemptEnd forwardEvents(UpstreamStream &upstream, Yield yield);
     bool isComplete(const UpstreamStream &upstream) const;
     Status forwardEvent(UpstreamStream &upstream, const std::string &text, Yield yield);
--- a/ramphinge/dispatch/internal/streamed_request.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -133,7 +133,7 @@
             decodeHead(*upstream, *m_call);
         end = forwardEvents(*upstream, yield);
     } else {
-        recordNoAnswer(*upstream, *m_call, started);
+        recordNoResponse(*upstream, *m_call, started);
         end = attemptEndFor(started);
     }
     if (end == AttemptEnd::Failed && m_call->endedByPeer()) {
@@ -182,8 +182,8 @@
     upstream.head = m_context.codec.decodeAnswer(call.status(), call.headers());
 }
 
-void StreamedRequest::recordNoAnswer(const UpstreamStream &upstream, const UpstreamCall &call,
-                                     const Status &failure)
+void StreamedRequest::recordNoResponse(const UpstreamStream &upstream, const UpstreamCall &call,
+                                       const Status &failure)
 {
     m_mayHaveRunCount += call.sent() ? 1 : 0;
     if (callerGone())
@@ -329,7 +329,7 @@
     if (!started.ok()) {
         m_retryPrepaid = false;
         m_sendCount += candidate.call->sent() ? 1 : 0;
-        recordNoAnswer(candidate, *candidate.call, started);
+        recordNoResponse(candidate, *candidate.call, started);
         return false;
     }
     decodeHead(candidate, *candidate.call);
@@ -480,8 +480,9 @@
             if (isComplete(upstream))
                 return finishResponse(upstream, yield);
             logFailedAttempt(target, "cut_short",
-                             "the answer ended with " + std::to_string(upstream.reader.rest())
-                                 + " bytes of an event, after event " + m_lastEvent.text());
+                             "the response ended with " + std::to_string(upstream.reader.rest())
+                                 + " bytes of an incomplete event after event "
+                                 + m_lastEvent.text());
             if (m_call->endsWithConnection())
                 awaitCrashVerdict(target, upstream.sentAt, yield);
             return AttemptEnd::Failed;
