--- /dev/null
+++ b/ramphinge/dispatch/internal/buffered_request.cpp
@@ -0,0 +1,97 @@
+// Requests with buffered responses: see proxied_request.h.
+
+#include <algorithm>
+
+#include "ramphinge/dispatch/internal/proxied_request.h"
+
+namespace ramphinge {
+
+namespace {
+
+constexpr int serverError = 500;
+
+bool isSuccess(int status)
+{
+    return status >= 200 && status < 300;
+}
+
+} // namespace
+
+Duration BufferedRequest::maxHeadWait() const
+{
+    if (!mayFailOver(m_mayHaveRunCount + 1))
+        return timeLeft();
+    const Duration maxWait = scaled(timeLeft(), m_context.options.headTimeoutShare);
+    return std::min(timeLeft(), std::max(maxWait, m_admitted.route->objective));
+}
+
+// Sends the request and waits for the response's head; the request counts as in flight meanwhile.
+Status BufferedRequest::startCall(const Target &target, Yield yield)
+{
+    TargetTable &targets = m_context.state.targets;
+    const MonotonicTime sentAt = now();
+    const Duration expected = targets.expectedTime(target.host, m_incoming.promptTokens, sentAt);
+    logTarget(target, expected, Urgency::InTime);
+    m_call = makeCall(target, {}, maxHeadWait(), Urgency::InTime);
+    InFlightGuard inFlight(targets, target.host, m_incoming.promptTokens);
+    Status started = m_call->start(yield);
+    if (started.ok())
+        inFlight.begin(now() - sentAt, expected, now());
+    return started;
+}
+
+AttemptEnd BufferedRequest::attempt(const Target &target, Yield yield)
+{
+    TargetTable &targets = m_context.state.targets;
+    const MonotonicTime sentAt = now();
+    const Status started = startCall(target, yield);
+    m_sendCount += m_call->sent() ? 1 : 0;
+    if (!started.ok()) {
+        m_mayHaveRunCount += m_call->sent() ? 1 : 0;
+        if (m_call->withheld()) {
+            logWithheld(target);
+        } else if (!callerGone()) {
+            avoid(target);
+            logFailedAttempt(target, "no_answer", started.error().message());
+        }
+        if (m_call->endedByPeer())
+            awaitCrashVerdict(target, sentAt, yield);
+        return attemptEndFor(started);
+    }
+    const AnswerHead head = m_context.codec.decodeAnswer(m_call->status(), m_call->headers());
+    Result<std::string> body = readBody(yield);
+    if (head.notExecuted)
+        return handleNotExecuted(target, head);
+    ++m_mayHaveRunCount;
+    const bool usable = body.ok() && head.authentic && !head.decoded;
+    if (!usable) {
+        targets.failed(target.host, now());
+        if (!callerGone())
+            logFailedAttempt(target, "unusable",
+                             body.ok() ? "the response is not authentic" : body.error().message());
+        if (m_call->endedByPeer())
+            awaitCrashVerdict(target, sentAt, yield);
+        return AttemptEnd::Failed;
+    }
+    // Without a retry, the server's own error response tells the caller more than one of the
+    // daemon.
+    const bool shouldRetry = head.status >= serverError && mayFailOver(m_mayHaveRunCount)
+        && timeLeft() > m_admitted.route->objective;
+    if (shouldRetry) {
+        targets.failed(target.host, now());
+        logFailedAttempt(target, "server_error", "status " + std::to_string(head.status));
+        return AttemptEnd::Failed;
+    }
+    if (head.status < serverError)
+        targets.succeeded(target.host, now());
+    if (isSuccess(head.status))
+        noteAnswered();
+    static_cast<void>(
+        sendResponse(head, std::move(body.value()), yield)); // The HTTP server notes a failure.
+    logEnd("answered", isSuccess(head.status) ? LogWeight::Routine : LogWeight::Failure,
+           { { "host", target.host.text() }, { "status", head.status } });
+    countOutcome(isSuccess(head.status) ? "served" : "server_failure");
+    return AttemptEnd::Done;
+}
+
+} // namespace ramphinge
--- /dev/null
+++ b/ramphinge/dispatch/internal/proxied_request.h
@@ -0,0 +1,270 @@
+// One request that is being forwarded to upstreams: the logic that its attempts share. Requests
+// with buffered and with streamed responses are separate subclasses.
+
+#pragma once
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "ramphinge/base/random.h"
+#include "ramphinge/dispatch/dispatcher.h"
+#include "ramphinge/quarantine/fingerprint.h"
+
+namespace ramphinge {
+
+// What all requests of a daemon share.
+struct DispatchContext
+{
+    IoContext &io;
+    const Clock &clock;
+    DispatchOptions options;
+    const RequestCodec &codec;
+    UpstreamClient &upstreams;
+    DispatchState &state;
+    DecisionLog &log;
+    Metrics &metrics;
+    Random random;
+    CrashWatch crashes;
+    TrialGranter &trials;
+};
+
+// How one attempt ended.
+enum class AttemptEnd {
+    Done, // The caller has its complete response, or has disconnected.
+    NotSent, // No byte of the request was sent.
+    NotExecuted, // The upstream guarantees that it has not executed the request and won't.
+    Failed, // The upstream may have executed it.
+};
+
+// RAII guard that counts a request as in flight at one target. A count that is never taken back
+// would keep requests away from a healthy upstream forever.
+class InFlightGuard
+{
+public:
+    InFlightGuard(TargetTable &targets, HostId host, Tokens prompt,
+                  Urgency urgency = Urgency::InTime);
+    ~InFlightGuard();
+    InFlightGuard(const InFlightGuard &) = delete;
+    InFlightGuard &operator=(const InFlightGuard &) = delete;
+
+    // The first event or the response's head arrived after `took`. Call at most once.
+    void begin(Duration took, Duration expected, MonotonicTime now);
+
+private:
+    TargetTable &m_targets;
+    HostId m_host;
+    Tokens m_prompt;
+    Urgency m_urgency;
+    bool m_begun = false;
+};
+
+// One request. Used by its connection's coroutine.
+//
+// An exception in any component ends the request with an error response that is correct about
+// whether it may have been executed: execute() throws only if that response itself can't be made.
+class ProxiedRequest
+{
+public:
+    ProxiedRequest(DispatchContext &context, HttpExchange &exchange,
+                   const IncomingRequest &incoming, AdmittedRequest admitted,
+                   MonotonicTime arrival);
+    virtual ~ProxiedRequest();
+    ProxiedRequest(const ProxiedRequest &) = delete;
+    ProxiedRequest &operator=(const ProxiedRequest &) = delete;
+
+    // Serves the request until its response has been sent or the caller has disconnected.
+    void execute(Yield yield);
+
+protected:
+    // Tries one upstream. `m_call` is the call in progress.
+    virtual AttemptEnd attempt(const Target &target, Yield yield) = 0;
+
+    // Ends the request with an error response of the daemon.
+    virtual void endWithError(RefusalReason reason, Yield yield);
+
+    // Whether the request may be retried after an upstream may have executed it.
+    bool mayRepeat() const { return m_admitted.route->mayRepeat(); }
+
+    // Whether the request could be sent to another upstream if the current one failed now.
+    // `mayHaveRunCount` is the number of upstreams that may have executed it by then.
+    bool mayFailOver(int mayHaveRunCount) const;
+
+    // The target of the next attempt; nothing if there is none.
+    virtual std::optional<Target> nextTarget() { return reserveTarget(); }
+
+    // Chooses the best target that was not tried yet, marks it as tried and charges its rate limit.
+    // Nothing if there is none or the request is quarantined.
+    std::optional<Target> reserveTarget();
+
+    // Why the request ends after an unsuccessful attempt; nothing if there may be another one. That
+    // is charged to the retry budget if anything was sent before.
+    virtual std::optional<RefusalReason> reasonToStop(AttemptEnd last);
+
+    // Whether the request must not be sent since servers have terminated while they ran it. Checked
+    // before each send, since reports of other daemons may arrive at any time.
+    bool isQuarantined() const;
+    SuspectRequest suspectRequest() const;
+    // The connection to an upstream ended before the response was complete. Waits until it is known
+    // whether the upstream has terminated, since that may quarantine the request.
+    void awaitCrashVerdict(const Target &target, MonotonicTime sentAt, Yield yield);
+    // An upstream has responded completely, which proves that the request doesn't crash servers.
+    void noteAnswered();
+
+    // Cancels the calls to upstreams after the caller has disconnected.
+    virtual void cancelCalls();
+
+    // Cancels the calls to upstreams after an exception, and counts those that may have executed
+    // it.
+    virtual void cancelAfterException();
+
+    std::unique_ptr<UpstreamCall> makeCall(const Target &target, const EventId &resumeAfter,
+                                           Duration headTimeout, Urgency urgency) const;
+    // This daemon's share of the connections that one server accepts from all daemons.
+    int maxIdleConnections() const;
+    // How an attempt ended whose call could not be started.
+    AttemptEnd attemptEndFor(const Status &failure) const;
+    // The request was not written, since its server asked for a pause or is leaving.
+    void logWithheld(const Target &target) const;
+    // Handles a response with the guarantee that the request was not executed; counts as a failure
+    // of the target.
+    AttemptEnd handleNotExecuted(const Target &target, const AnswerHead &head);
+    // Avoids the target for a while, and reports its replica as suspected to the planner.
+    void avoid(const Target &target);
+    // Reads the whole response body. Errors: Unknown.
+    Result<std::string> readBody(Yield yield);
+    Status sendResponse(const AnswerHead &head, std::string body, Yield yield);
+
+    // Identifies the request's content; the same for every attempt. Computed on first use, since it
+    // hashes the body.
+    const RequestFingerprint &fingerprint() const;
+
+    MonotonicTime now() const { return m_context.clock.now(); }
+    Duration timeLeft() const { return m_admitted.deadline - now(); }
+    bool callerGone() const { return m_exchange.callerGone(); }
+    void logTarget(const Target &target, Duration expected, Urgency urgency) const;
+    void logEnd(const char *event, LogWeight weight, nlohmann::json fields) const;
+    void logFailedAttempt(const Target &target, const char *what, const std::string &why) const;
+    void countOutcome(const char *outcome) const;
+
+    DispatchContext &m_context;
+    HttpExchange &m_exchange;
+    const IncomingRequest &m_incoming;
+    AdmittedRequest m_admitted;
+    MonotonicTime m_arrival;
+    std::unique_ptr<UpstreamCall> m_call; // Null between attempts.
+    int m_sendCount = 0; // Calls in which at least a part of the request was sent.
+    int m_mayHaveRunCount = 0; // Upstreams that may have executed the request.
+    bool m_retryPrepaid = false; // The next retry is already charged to the retry budget.
+
+private:
+    void tryTargets(Yield yield);
+    void failAfterException(const std::string &why, Yield yield);
+    TargetQuery targetQuery() const;
+    RefusalReason finalReason() const;
+    // Hosts of all targets that could serve the request, including those that admit none now.
+    std::vector<HostId> allCandidateHosts() const;
+    // RateLimited or BackingOff if none of these hosts admits requests now; nothing if one does, or
+    // all are leaving.
+    std::optional<RefusalReason> reasonWithheld() const;
+    // Time until a host that admits no requests now is expected to; nothing if one does, or there
+    // is none.
+    std::optional<Duration> timeUntilAccepted();
+    // The Retry-After of a refusal; nothing for reasons that don't guarantee that the request was
+    // not executed.
+    std::optional<Duration> retryAfter(RefusalReason reason);
+    // This daemon's share of the request rate that the request's servers accept from all daemons.
+    RequestRate acceptedRateShare() const;
+
+    bool m_isTrial = false; // Quarantined, but granted a trial at one server.
+    mutable RequestFingerprint m_fingerprint; // Empty until first used.
+    std::set<HostId> m_triedHosts;
+    int m_notExecutedResponses = 0;
+};
+
+// A request whose response is read completely before it is forwarded.
+class BufferedRequest : public ProxiedRequest
+{
+public:
+    using ProxiedRequest::ProxiedRequest;
+
+protected:
+    AttemptEnd attempt(const Target &target, Yield yield) override;
+
+private:
+    Status startCall(const Target &target, Yield yield);
+    // How long to wait for the response's head before the request is retried elsewhere.
+    Duration maxHeadWait() const;
+};
+
+// A request whose response is a stream of events.
+//
+// If the current upstream's stream stalls, the request is sent to another upstream, the candidate.
+// The stalled stream is cancelled only once the candidate has accepted and become the successor:
+// the other upstreams may be full, and the current one may merely have paused.
+//
+// Watchers are separate coroutines that refer to the StreamedRequest. After each wait they check
+// whether the UpstreamStream that they were started for is released, and if so touch nothing of the
+// StreamedRequest, which may be gone. Its destructor releases all streams that are left in
+// m_activeStreams, so that none is missed however the request ends.
+class StreamedRequest : public ProxiedRequest
+{
+public:
+    StreamedRequest(DispatchContext &context, HttpExchange &exchange,
+                    const IncomingRequest &incoming, AdmittedRequest admitted,
+                    MonotonicTime arrival);
+    ~StreamedRequest() override;
+
+protected:
+    AttemptEnd attempt(const Target &target, Yield yield) override;
+    std::optional<Target> nextTarget() override;
+    std::optional<RefusalReason> reasonToStop(AttemptEnd last) override;
+    void cancelCalls() override;
+    void cancelAfterException() override;
+    void endWithError(RefusalReason reason, Yield yield) override;
+
+private:
+    // The state of one upstream's response stream.
+    struct UpstreamStream;
+
+    std::shared_ptr<UpstreamStream> startStream(const Target &target);
+    void releaseStream(UpstreamStream &upstream);
+    void releaseAll();
+    void decodeHead(UpstreamStream &upstream, const HttpCall &call) const;
+    void recordNoResponse(const UpstreamStream &upstream, const UpstreamCall &call,
+                          const Status &failure);
+    AttemptEnd forwardEvents(UpstreamStream &upstream, Yield yield);
+    bool isComplete(const UpstreamStream &upstream) const;
+    Status forwardEvent(UpstreamStream &upstream, const std::string &text, Yield yield);
+    void watchCurrent(const std::shared_ptr<UpstreamStream> &upstream);
+    StreamObservation observeStream(const UpstreamStream &upstream) const;
+    void logStreamLeft(const UpstreamStream &upstream, const StreamObservation &stream) const;
+    bool shouldFailOver(const UpstreamStream &upstream);
+    bool prepayRetry(const UpstreamStream &upstream);
+    int mayHaveRunCountWith(const UpstreamStream &current) const;
+    bool tryCandidate(const std::shared_ptr<UpstreamStream> &current, Yield yield);
+    void watchCandidate(const std::shared_ptr<UpstreamStream> &candidate,
+                        const std::shared_ptr<UpstreamStream> &current);
+    bool handleCandidateHead(UpstreamStream &candidate, const Status &started);
+    void awaitCandidate(Yield yield);
+    void dropCandidate();
+    // Starts the response to the caller with this upstream's status and headers.
+    void beginResponse(const UpstreamStream &upstream);
+    AttemptEnd finishResponse(UpstreamStream &upstream, Yield yield);
+
+    // Streams of all upstreams that were sent the request. Invariant: none of them is released.
+    std::vector<std::shared_ptr<UpstreamStream>> m_activeStreams;
+    // Of another upstream that was asked to continue and has not responded yet; null for none.
+    std::shared_ptr<UpstreamStream> m_candidate;
+    // The candidate that accepted, until it becomes the current stream; null for none.
+    std::shared_ptr<UpstreamStream> m_successor;
+    Signal m_candidateDecided; // m_candidate has accepted or failed.
+    bool m_headSent = false;
+    EventId m_lastEvent; // The last that the caller has; initially the one it resumes after.
+    int m_eventsForwarded = 0;
+    MonotonicTime m_firstEventAt;
+    MonotonicTime m_lastEventAt;
+    Duration m_longestEventGap {};
+};
+
+} // namespace ramphinge
--- /dev/null
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -0,0 +1,576 @@
+// Requests with streamed responses: see proxied_request.h.
+
+#include <algorithm>
+#include <exception>
+#include <utility>
+
+#include "ramphinge/base/erase_if.h"
+#include "ramphinge/dispatch/event_stream.h"
+#include "ramphinge/dispatch/internal/proxied_request.h"
+
+namespace ramphinge {
+
+namespace {
+
+constexpr int statusOk = 200;
+constexpr const char *withdrawnReason =
+    "the request was quarantined: servers terminated while they ran the same request";
+// Timeout of a read that starts close to the deadline, so that bytes that have arrived are read.
+constexpr Duration minReadTimeout = std::chrono::milliseconds(60);
+// A timer that fires this late was delayed by a pause of the process or by other work on the event
+// loop; on a busy daemon timers are late by a few milliseconds.
+constexpr Duration minProcessPause = std::chrono::milliseconds(100);
+
+// Whether the response is an unmodified stream of the upstream that can be forwarded event by
+// event.
+bool isStreamable(const AnswerHead &head)
+{
+    return !head.notExecuted && head.status == statusOk && head.authentic && !head.decoded;
+}
+
+} // namespace
+
+struct StreamedRequest::UpstreamStream
+{
+    explicit UpstreamStream(Target streamTarget) : target(std::move(streamTarget)) { }
+
+    Target target;
+    Urgency urgency = Urgency::InTime;
+    std::unique_ptr<UpstreamCall> call; // Moved to m_call when this becomes the current stream.
+    AnswerHead head;
+    EventStreamReader reader;
+    MonotonicTime sentAt;
+    Duration expected {}; // Time to the first event, as predicted when the request was sent.
+    // When the request was sent, data last arrived, or the caller had last accepted an event.
+    MonotonicTime lastActivityAt;
+    std::optional<InFlightGuard> inFlight; // Until it is released.
+    bool countedAsMayHaveRun = false; // In m_mayHaveRunCount.
+    bool begun = false; // Its first event has arrived.
+    bool writingToCaller = false; // The upstream is not read meanwhile.
+    bool released = false; // The StreamedRequest may be gone. Watchers check it after each wait.
+    bool stalled = false; // It was cancelled because it stalled.
+    bool withdrawn = false; // It was cancelled before its first event: the request is quarantined.
+
+    // Data that arrived during a pause of this process is not read yet, so the pause doesn't count
+    // as silence of the upstream.
+    void excludeProcessPause(Duration delay, MonotonicTime now)
+    {
+        if (delay >= minProcessPause)
+            lastActivityAt = std::min(now, lastActivityAt + delay);
+    }
+};
+
+StreamedRequest::StreamedRequest(DispatchContext &context, HttpExchange &exchange,
+                                 const IncomingRequest &incoming, AdmittedRequest admitted,
+                                 MonotonicTime arrival)
+    : ProxiedRequest(context, exchange, incoming, std::move(admitted), arrival),
+      m_candidateDecided(context.io), m_lastEvent(incoming.resumeAfter), m_lastEventAt(arrival)
+{ }
+
+StreamedRequest::~StreamedRequest()
+{
+    releaseAll();
+}
+
+void StreamedRequest::releaseAll()
+{
+    while (!m_activeStreams.empty()) {
+        const std::shared_ptr<UpstreamStream> remaining = m_activeStreams.back();
+        releaseStream(*remaining);
+    }
+}
+
+std::optional<Target> StreamedRequest::nextTarget()
+{
+    return m_successor ? std::optional<Target>(m_successor->target) : reserveTarget();
+}
+
+// A retry that a successor has accepted is already charged to the retry budget.
+std::optional<RefusalReason> StreamedRequest::reasonToStop(AttemptEnd last)
+{
+    if (!m_successor)
+        return ProxiedRequest::reasonToStop(last);
+    m_retryPrepaid = false;
+    if (timeLeft() <= Duration::zero())
+        return RefusalReason::DeadlineExceeded;
+    return std::nullopt;
+}
+
+void StreamedRequest::cancelCalls()
+{
+    ProxiedRequest::cancelCalls();
+    for (const std::shared_ptr<UpstreamStream> &other : { m_candidate, m_successor }) {
+        if (other)
+            other->call->cancel();
+    }
+}
+
+void StreamedRequest::cancelAfterException()
+{
+    for (const std::shared_ptr<UpstreamStream> &upstream : m_activeStreams) {
+        const UpstreamCall *call = upstream->call ? upstream->call.get() : m_call.get();
+        const bool sent = call != nullptr && call->sent();
+        m_sendCount += sent ? 1 : 0;
+        m_mayHaveRunCount += sent && !upstream->countedAsMayHaveRun ? 1 : 0;
+    }
+    if (m_call)
+        m_call->cancel();
+    releaseAll();
+}
+
+AttemptEnd StreamedRequest::attempt(const Target &target, Yield yield)
+{
+    const bool tookOver = m_successor != nullptr;
+    const std::shared_ptr<UpstreamStream> upstream =
+        tookOver ? std::exchange(m_successor, nullptr) : startStream(target);
+    m_call = std::move(upstream->call);
+    watchCurrent(upstream);
+    const Status started = tookOver ? Status(Done {}) : m_call->start(yield);
+    m_sendCount += m_call->sent() ? 1 : 0;
+    AttemptEnd end = AttemptEnd::Done;
+    if (started.ok()) {
+        if (!tookOver)
+            decodeHead(*upstream, *m_call);
+        end = forwardEvents(*upstream, yield);
+    } else {
+        recordNoResponse(*upstream, *m_call, started);
+        end = attemptEndFor(started);
+    }
+    if (end == AttemptEnd::Failed && m_call->endedByPeer()) {
+        upstream->writingToCaller = true; // Not stalled: the wait is for the crash check.
+        awaitCrashVerdict(target, upstream->sentAt, yield);
+    }
+    if (end != AttemptEnd::Done)
+        awaitCandidate(yield);
+    dropCandidate();
+    m_call->cancel();
+    releaseStream(*upstream);
+    return end;
+}
+
+// Creates the call to an upstream and the state of its stream. The call isn't started yet.
+std::shared_ptr<StreamedRequest::UpstreamStream> StreamedRequest::startStream(const Target &target)
+{
+    TargetTable &targets = m_context.state.targets;
+    auto upstream = std::make_shared<UpstreamStream>(target);
+    upstream->sentAt = now();
+    upstream->lastActivityAt = upstream->sentAt;
+    upstream->expected =
+        targets.expectedTime(target.host, m_incoming.promptTokens, upstream->sentAt);
+    upstream->urgency = urgencyOf({ upstream->expected, m_admitted.route->objective,
+                                    upstream->sentAt - m_arrival, m_headSent },
+                                  m_context.options.urgency);
+    logTarget(target, upstream->expected, upstream->urgency);
+    upstream->call = makeCall(target, m_lastEvent, timeLeft(), upstream->urgency);
+    upstream->inFlight.emplace(targets, target.host, m_incoming.promptTokens, upstream->urgency);
+    m_activeStreams.push_back(upstream);
+    return upstream;
+}
+
+// Cancels what is left of the upstream's work for this request.
+void StreamedRequest::releaseStream(UpstreamStream &upstream)
+{
+    upstream.released = true;
+    if (upstream.call)
+        upstream.call->cancel();
+    upstream.inFlight.reset();
+    eraseIf(m_activeStreams, [&upstream](const auto &other) { return other.get() == &upstream; });
+}
+
+void StreamedRequest::decodeHead(UpstreamStream &upstream, const HttpCall &call) const
+{
+    upstream.head = m_context.codec.decodeAnswer(call.status(), call.headers());
+}
+
+void StreamedRequest::recordNoResponse(const UpstreamStream &upstream, const UpstreamCall &call,
+                                       const Status &failure)
+{
+    m_mayHaveRunCount += call.sent() ? 1 : 0;
+    if (callerGone())
+        return;
+    if (upstream.withdrawn) {
+        logFailedAttempt(upstream.target, "withdrawn", withdrawnReason);
+        return;
+    }
+    if (call.withheld()) {
+        logWithheld(upstream.target);
+        return;
+    }
+    avoid(upstream.target);
+    logFailedAttempt(upstream.target, upstream.stalled ? "stood_still" : "no_answer",
+                     failure.error().message());
+}
+
+// Watches the current stream. If it stalls, sends the request to a candidate, and cancels the
+// current stream once the candidate has accepted.
+void StreamedRequest::watchCurrent(const std::shared_ptr<UpstreamStream> &upstream)
+{
+    spawnCoroutine(m_context.io, [this, upstream, &context = m_context](Yield yield) {
+        Duration checkInterval = context.options.stallLook;
+        while (true) {
+            const MonotonicTime expectedAt = context.clock.now() + checkInterval;
+            sleepFor(context.io, checkInterval, yield);
+            if (upstream->released)
+                return;
+            upstream->excludeProcessPause(now() - expectedAt, now());
+            if (!upstream->begun && isQuarantined()) {
+                upstream->withdrawn = true;
+                m_call->cancel();
+                return;
+            }
+            checkInterval = context.options.stallLook;
+            if (!shouldFailOver(*upstream))
+                continue;
+            const bool tookOver = tryCandidate(upstream, yield);
+            if (upstream->released)
+                return;
+            if (!tookOver) {
+                checkInterval = context.options.retryAfter;
+                continue;
+            }
+            upstream->stalled = true;
+            m_call->cancel();
+            return;
+        }
+    });
+}
+
+// Whether the stream has stalled and a candidate may be tried. If so, the retry has been charged to
+// the retry budget.
+bool StreamedRequest::shouldFailOver(const UpstreamStream &upstream)
+{
+    if (upstream.writingToCaller)
+        return false;
+    const StreamObservation stream = observeStream(upstream);
+    if (!standsStill(stream, m_context.options.stall))
+        return false;
+    m_context.state.suspicions.note(upstream.target.replica, now());
+    if (!prepayRetry(upstream))
+        return false;
+    logStreamLeft(upstream, stream);
+    return true;
+}
+
+// Asks another upstream to continue the stream while the current one keeps it; true if it has
+// accepted. If the request ended meanwhile, `current` is released. An exception only ends this try;
+// the current upstream's stream goes on.
+bool StreamedRequest::tryCandidate(const std::shared_ptr<UpstreamStream> &current, Yield yield)
+{
+    const std::optional<Target> target = reserveTarget();
+    if (!target)
+        return false;
+    std::shared_ptr<UpstreamStream> candidate;
+    std::optional<std::string> failure;
+    try {
+        candidate = startStream(*target);
+        m_candidate = candidate;
+        watchCandidate(candidate, current);
+        const Status started = candidate->call->start(yield);
+        if (candidate->released)
+            return false;
+        if (candidate->call->endedByPeer()) {
+            awaitCrashVerdict(*target, candidate->sentAt, yield);
+            if (candidate->released) // The StreamedRequest may be gone.
+                return false;
+        }
+        if (handleCandidateHead(*candidate, started))
+            m_successor = candidate;
+    } catch (const std::exception &e) {
+        failure = e.what();
+    }
+    if (candidate && candidate->released)
+        return false;
+    if (failure) {
+        logFailedAttempt(*target, "failed_inside", *failure);
+        dropCandidate();
+    } else {
+        m_candidate = nullptr;
+        if (m_successor == nullptr)
+            releaseStream(*candidate);
+    }
+    m_candidateDecided.notify(); // In all cases: the current attempt may wait for it.
+    return m_successor != nullptr;
+}
+
+// Watches a candidate until it responds. If it stalls too, it is cancelled where a third upstream
+// may be asked.
+void StreamedRequest::watchCandidate(const std::shared_ptr<UpstreamStream> &candidate,
+                                     const std::shared_ptr<UpstreamStream> &current)
+{
+    spawnCoroutine(m_context.io, [this, candidate, current, &context = m_context](Yield yield) {
+        const Duration checkInterval = context.options.stallLook;
+        while (true) {
+            const MonotonicTime expectedAt = context.clock.now() + checkInterval;
+            sleepFor(context.io, checkInterval, yield);
+            if (candidate->released || m_candidate != candidate)
+                return;
+            candidate->excludeProcessPause(now() - expectedAt, now());
+            if (isQuarantined()) {
+                candidate->withdrawn = true;
+                candidate->call->cancel();
+                return;
+            }
+            if (!standsStill(observeStream(*candidate), context.options.stall))
+                continue;
+            context.state.suspicions.note(candidate->target.replica, now());
+            if (!mayFailOver(mayHaveRunCountWith(*current) + 1))
+                continue;
+            candidate->stalled = true;
+            candidate->call->cancel();
+            return;
+        }
+    });
+}
+
+// Evaluates a candidate's response head; true if it continues the stream. If it doesn't, the
+// prepaid retry is used up.
+bool StreamedRequest::handleCandidateHead(UpstreamStream &candidate, const Status &started)
+{
+    if (!started.ok()) {
+        m_retryPrepaid = false;
+        m_sendCount += candidate.call->sent() ? 1 : 0;
+        recordNoResponse(candidate, *candidate.call, started);
+        return false;
+    }
+    decodeHead(candidate, *candidate.call);
+    if (isStreamable(candidate.head))
+        return true;
+    m_retryPrepaid = false;
+    ++m_sendCount;
+    if (candidate.head.notExecuted) {
+        handleNotExecuted(candidate.target, candidate.head);
+        return false;
+    }
+    ++m_mayHaveRunCount;
+    m_context.state.targets.failed(candidate.target.host, now());
+    logFailedAttempt(candidate.target, "unusable",
+                     "status " + std::to_string(candidate.head.status));
+    return false;
+}
+
+// Waits for a candidate that has not responded when the current attempt fails: its response decides
+// how the request goes on.
+void StreamedRequest::awaitCandidate(Yield yield)
+{
+    while (m_candidate && !callerGone() && timeLeft() > Duration::zero())
+        m_candidateDecided.wait(timeLeft(), yield);
+}
+
+// Cancels the candidate, which is not needed since the current upstream goes on or the request has
+// ended. The candidate may have executed the request.
+void StreamedRequest::dropCandidate()
+{
+    const std::shared_ptr<UpstreamStream> dropped = std::exchange(m_candidate, nullptr);
+    if (!dropped)
+        return;
+    const int sent = dropped->call->sent() ? 1 : 0;
+    m_sendCount += sent;
+    m_mayHaveRunCount += sent;
+    m_retryPrepaid = false;
+    releaseStream(*dropped);
+}
+
+StreamObservation StreamedRequest::observeStream(const UpstreamStream &upstream) const
+{
+    const TargetTable &targets = m_context.state.targets;
+    const HostId &host = upstream.target.host;
+    const int others = targets.streamsUnderWay(host) - (upstream.begun ? 1 : 0);
+    StreamObservation stream;
+    stream.begun = upstream.begun;
+    stream.waited = now() - upstream.lastActivityAt;
+    stream.expected = upstream.expected;
+    stream.objective = m_admitted.route->objective;
+    stream.pauseObjective = m_admitted.route->pauseObjective;
+    stream.othersUnderWay = others > 0;
+    stream.standstill = targets.standstillOf(host);
+    stream.quiet = now() - std::max(targets.lastProgress(host), upstream.sentAt);
+    return stream;
+}
+
+// Logs the values on which the decision to leave a stream was based, to tell afterwards whether the
+// upstream was healthy or dead.
+void StreamedRequest::logStreamLeft(const UpstreamStream &upstream,
+                                    const StreamObservation &stream) const
+{
+    m_context.log.write("stream_left", LogWeight::Failure,
+                        { { "request", m_incoming.request.text() },
+                          { "host", upstream.target.host.text() },
+                          { "replica", upstream.target.replica.text() },
+                          { "begun", stream.begun },
+                          { "last_event", m_lastEvent.text() },
+                          { "waited_ms", toMilliseconds(stream.waited) },
+                          { "quiet_ms", toMilliseconds(stream.quiet) },
+                          { "standstill_ms", toMilliseconds(stream.standstill) },
+                          { "others_under_way", stream.othersUnderWay },
+                          { "left_ms", toMilliseconds(timeLeft()) } });
+}
+
+// How many upstreams may have executed the request, including the current one.
+int StreamedRequest::mayHaveRunCountWith(const UpstreamStream &current) const
+{
+    return m_mayHaveRunCount + (current.countedAsMayHaveRun ? 0 : 1);
+}
+
+// Charges the retry budget before a candidate is tried. False if it is exhausted or no failover is
+// possible: then waiting is better.
+bool StreamedRequest::prepayRetry(const UpstreamStream &upstream)
+{
+    if (!mayFailOver(mayHaveRunCountWith(upstream)))
+        return false;
+    m_retryPrepaid = m_context.state.budgetOf(m_admitted.service).take(now());
+    return m_retryPrepaid;
+}
+
+// Whether the caller has the complete stream once the upstream's response has ended. A resumed
+// response without any event is complete too: the caller had the last event, and only the end of
+// the stream was missing. But not if the close of the connection marks the end, since an upstream
+// that stops closes it as well.
+bool StreamedRequest::isComplete(const UpstreamStream &upstream) const
+{
+    if (upstream.reader.rest() > 0)
+        return false;
+    return upstream.begun || (!m_lastEvent.empty() && !m_call->endsWithConnection());
+}
+
+AttemptEnd StreamedRequest::forwardEvents(UpstreamStream &upstream, Yield yield)
+{
+    const Target &target = upstream.target;
+    TargetTable &targets = m_context.state.targets;
+    if (upstream.head.notExecuted) {
+        static_cast<void>(readBody(yield)); // Discarded; read so that the connection is kept.
+        return handleNotExecuted(target, upstream.head);
+    }
+    ++m_mayHaveRunCount;
+    upstream.countedAsMayHaveRun = true;
+    if (!isStreamable(upstream.head)) {
+        Result<std::string> body = readBody(yield);
+        targets.failed(target.host, now());
+        const bool deliverable = body.ok() && upstream.head.authentic && !upstream.head.decoded;
+        if (!deliverable || m_headSent
+            || (upstream.head.status >= 500 && mayFailOver(m_mayHaveRunCount))) {
+            logFailedAttempt(target, "unusable", "status " + std::to_string(upstream.head.status));
+            return AttemptEnd::Failed;
+        }
+        dropCandidate();
+        upstream.writingToCaller = true;
+        static_cast<void>(sendResponse(upstream.head, std::move(body.value()), yield));
+        logEnd("answered", LogWeight::Failure,
+               { { "host", target.host.text() }, { "status", upstream.head.status } });
+        countOutcome("server_failure");
+        return AttemptEnd::Done;
+    }
+    std::string piece;
+    while (true) {
+        piece.clear();
+        m_call->setReadTimeout(std::max(timeLeft(), minReadTimeout));
+        const Result<std::size_t> got = m_call->read(piece, yield);
+        if (callerGone())
+            return AttemptEnd::Failed;
+        if (!got.ok() && upstream.withdrawn) {
+            logFailedAttempt(target, "withdrawn", withdrawnReason);
+            return AttemptEnd::Failed;
+        }
+        if (!got.ok()) {
+            avoid(target);
+            logFailedAttempt(target, upstream.stalled ? "stood_still" : "broke_off",
+                             got.error().message());
+            return AttemptEnd::Failed;
+        }
+        if (got.value() == 0) {
+            if (isComplete(upstream))
+                return finishResponse(upstream, yield);
+            logFailedAttempt(target, "cut_short",
+                             "the response ended with " + std::to_string(upstream.reader.rest())
+                                 + " bytes of an incomplete event after event "
+                                 + m_lastEvent.text());
+            if (m_call->endsWithConnection())
+                awaitCrashVerdict(target, upstream.sentAt, yield);
+            return AttemptEnd::Failed;
+        }
+        dropCandidate();
+        upstream.lastActivityAt = now();
+        targets.progressed(target.host, now());
+        upstream.reader.feed(piece);
+        while (const std::optional<StreamEvent> event = upstream.reader.next()) {
+            if (!upstream.begun) {
+                upstream.begun = true;
+                upstream.inFlight->begin(now() - upstream.sentAt, upstream.expected, now());
+            }
+            if (!event->id.empty() && alreadyDelivered(m_lastEvent, event->id))
+                continue;
+            if (!event->id.empty() && !followsInOrder(m_lastEvent, event->id)) {
+                logFailedAttempt(target, "out_of_order",
+                                 "event " + event->id.text() + " after " + m_lastEvent.text());
+                return AttemptEnd::Failed;
+            }
+            if (!forwardEvent(upstream, event->text, yield).ok())
+                return AttemptEnd::Failed;
+            if (!event->id.empty())
+                m_lastEvent = event->id;
+        }
+    }
+}
+
+void StreamedRequest::beginResponse(const UpstreamStream &upstream)
+{
+    m_exchange.beginStream(upstream.head.status, upstream.head.headers);
+    m_headSent = true;
+    m_firstEventAt = now();
+    m_context.metrics.observe(
+        MetricName("first_event_ms").with("route", m_admitted.route->route.text()),
+        m_firstEventAt - m_arrival, m_firstEventAt);
+    m_context.log.write("first_event", LogWeight::Routine,
+                        { { "request", m_incoming.request.text() },
+                          { "host", upstream.target.host.text() },
+                          { "expected_ms", toMilliseconds(upstream.expected) },
+                          { "age_ms", toMilliseconds(m_firstEventAt - m_arrival) } });
+}
+
+Status StreamedRequest::forwardEvent(UpstreamStream &upstream, const std::string &text, Yield yield)
+{
+    if (m_headSent)
+        m_longestEventGap = std::max(m_longestEventGap, now() - m_lastEventAt);
+    else
+        beginResponse(upstream);
+    m_lastEventAt = now();
+    ++m_eventsForwarded;
+    upstream.writingToCaller = true;
+    Status written = m_exchange.write(text, yield);
+    upstream.writingToCaller = false;
+    upstream.lastActivityAt = now();
+    return written;
+}
+
+AttemptEnd StreamedRequest::finishResponse(UpstreamStream &upstream, Yield yield)
+{
+    dropCandidate();
+    upstream.writingToCaller = true;
+    m_context.state.targets.succeeded(upstream.target.host, now());
+    noteAnswered();
+    if (!m_headSent)
+        beginResponse(upstream);
+    static_cast<void>(m_exchange.finish(yield)); // The HTTP server notes a failure.
+    logEnd("answered", LogWeight::Routine,
+           { { "host", upstream.target.host.text() },
+             { "status", statusOk },
+             { "events", m_eventsForwarded },
+             { "first_event_ms", toMilliseconds(m_firstEventAt - m_arrival) },
+             { "longest_pause_ms", toMilliseconds(m_longestEventGap) } });
+    countOutcome("served");
+    return AttemptEnd::Done;
+}
+
+void StreamedRequest::endWithError(RefusalReason reason, Yield yield)
+{
+    if (!m_headSent) {
+        ProxiedRequest::endWithError(reason, yield);
+        return;
+    }
+    // The caller has a part of the response, which must not look complete.
+    logEnd("stream_broken_off", LogWeight::Failure,
+           { { "reason", toString(reason) }, { "last_event", m_lastEvent.text() } });
+    countOutcome("broken_off");
+    m_exchange.abort();
+}
+
+} // namespace ramphinge
