--- a/ramphinge/dispatch/crashing_request_test.cpp
+++ b/ramphinge/dispatch/crashing_request_test.cpp
@@ -50,73 +50,75 @@
 public:
     void plainRequestEndsThreeServersAtMost()
     {
-        CPPUNIT_ASSERT(endedUnder("/safe/1", breaksOff({})) <= mostEnds);
+        CPPUNIT_ASSERT(endedUnder("/safe/1", truncatedAnswer({})) <= mostEnds);
     }
 
     void streamEndsThreeServersAtMost()
     {
-        CPPUNIT_ASSERT(endedUnder("/chat/1", breaksOff({})) <= mostEnds);
+        CPPUNIT_ASSERT(endedUnder("/chat/1", truncatedAnswer({})) <= mostEnds);
     }
 
     void streamThatEndsServersMidwayEndsThreeAtMost()
     {
-        CPPUNIT_ASSERT(endedUnder("/chat/1", breaksOff({ event(1) })) <= mostEnds);
+        CPPUNIT_ASSERT(endedUnder("/chat/1", truncatedAnswer({ event(1) })) <= mostEnds);
     }
 
     void requestThatMayNotRepeatEndsThreeServersAtMost()
     {
-        CPPUNIT_ASSERT(endedUnder("/once/1", breaksOff({})) <= mostEnds);
+        CPPUNIT_ASSERT(endedUnder("/once/1", truncatedAnswer({})) <= mostEnds);
     }
 
     void heldRequestIsRefusedAsNotRun()
     {
-        Bench bench;
-        hold(bench, "/safe/1");
-        const auto caller = bench.serve("/safe/1");
+        DispatchHarness harness;
+        hold(harness, "/safe/1");
+        const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(429, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("quarantined") != std::string::npos);
         CPPUNIT_ASSERT(caller->response.headers.find("Retry-After").has_value());
-        CPPUNIT_ASSERT(bench.client.sent().empty());
+        CPPUNIT_ASSERT(harness.client.sent().empty());
     }
 
     void otherRequestsGoOn()
     {
-        Bench bench;
-        hold(bench, "/safe/1");
-        bench.client.expect(firstServer, answer(200, { "x" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/safe/2")->response.status);
+        DispatchHarness harness;
+        hold(harness, "/safe/1");
+        harness.client.expect(firstServer, answer(200, { "x" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/2")->response.status);
     }
 
     void resetConnectionOfAServerThatLivesCountsForNothing()
     {
-        Bench bench;
+        DispatchHarness harness;
         for (const Endpoint &endpoint : { firstServer, secondServer }) {
             for (int call = 0; call < 8; ++call)
-                bench.client.expect(endpoint, breaksOff({})); // It is there the next time too.
+                harness.client.expect(endpoint,
+                                      truncatedAnswer({})); // It is there the next time too.
         }
         for (int visit = 0; visit < 5; ++visit)
-            bench.serve("/safe/1");
-        CPPUNIT_ASSERT(bench.state.quarantine.empty());
+            harness.serve("/safe/1");
+        CPPUNIT_ASSERT(harness.state.quarantine.empty());
     }
 
     // Something before a server still accepts connections and ends them.
     void requestSentAfterTheEndHadNothingToDoWithIt()
     {
-        Bench bench;
+        DispatchHarness harness;
         IoContext io(1);
         Quarantine quarantine { QuarantineOptions() };
-        CrashWatch watch(io, bench.clock, {}, bench.probe, quarantine, bench.log, bench.metrics);
+        CrashWatch watch(io, harness.clock, {}, harness.probe, quarantine, harness.log,
+                         harness.metrics);
         Target target;
         target.host = HostId("a1");
         target.endpoint = firstServer;
-        const MonotonicTime sentAt = bench.clock.now();
-        bench.clock.advance(std::chrono::seconds(1));
+        const MonotonicTime sentAt = harness.clock.now();
+        harness.clock.advance(std::chrono::seconds(1));
         runCoroutine(io, [&](Yield yield) {
             const Duration patience = std::chrono::milliseconds(100);
             watch.connectionEnded(request("was there"), target, sentAt, patience, yield);
-            bench.clock.advance(std::chrono::seconds(1));
+            harness.clock.advance(std::chrono::seconds(1));
             watch.connectionEnded(request("was there too"), target, sentAt, patience, yield);
-            watch.connectionEnded(request("came later"), target, bench.clock.now(), patience,
+            watch.connectionEnded(request("came later"), target, harness.clock.now(), patience,
                                   yield);
         });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, quarantine.suspects());
@@ -126,15 +128,16 @@
     // One that is full resets new connections, also that of the question.
     void serverThatCannotBeAskedHasEndedIfItGoes()
     {
-        Bench bench;
-        bench.probe.canTell = false;
+        DispatchHarness harness;
+        harness.probe.canProbe = false;
         IoContext io(1);
         Quarantine quarantine { QuarantineOptions() };
-        CrashWatch watch(io, bench.clock, {}, bench.probe, quarantine, bench.log, bench.metrics);
+        CrashWatch watch(io, harness.clock, {}, harness.probe, quarantine, harness.log,
+                         harness.metrics);
         const auto cutAt = [&](const char *host, Yield yield) {
             Target target;
             target.host = HostId(host);
-            watch.connectionEnded(request(host), target, bench.clock.now(),
+            watch.connectionEnded(request(host), target, harness.clock.now(),
                                   std::chrono::milliseconds(100), yield);
         };
         runCoroutine(io, [&](Yield yield) {
@@ -144,7 +147,7 @@
         CPPUNIT_ASSERT(quarantine.empty());
         watch.serversChanged([](const HostId &host) { return host != HostId("goes"); });
         CPPUNIT_ASSERT(quarantine.own().count(RequestFingerprint("goes")) == 1);
-        bench.clock.advance(std::chrono::seconds(8));
+        harness.clock.advance(std::chrono::seconds(8));
         watch.serversChanged([](const HostId &) { return true; });
         watch.serversChanged([](const HostId &) { return false; });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, quarantine.suspects());
@@ -152,55 +155,55 @@
 
     void answerElsewhereClearsIt()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1) }));
-        bench.client.expect(secondServer, answer(200, { event(1), event(2) }));
-        const auto caller = bench.serve("/chat/1");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
+        harness.client.expect(secondServer, answer(200, { event(1), event(2) }));
+        const auto caller = harness.serve("/chat/1");
         CPPUNIT_ASSERT(caller->finished);
-        CPPUNIT_ASSERT(bench.state.quarantine.empty());
+        CPPUNIT_ASSERT(harness.state.quarantine.empty());
     }
 
     void wordFromAnotherDaemonStopsARepeat()
     {
-        Bench bench;
-        ScriptedAnswer first = breaksOff({});
-        first.before = [&] { hear(bench, "/safe/1", { "elsewhere" }); };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, answer(200, { "x" }));
-        const auto caller = bench.serve("/safe/1");
+        DispatchHarness harness;
+        ScriptedAnswer first = truncatedAnswer({});
+        first.before = [&] { hear(harness, "/safe/1", { "elsewhere" }); };
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, answer(200, { "x" }));
+        const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(502, caller->response.status); // It may have run.
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
     }
 
     // It waits at a server that is full, say: one that it need not end.
     void wordFromAnotherDaemonWithdrawsWhatHasNotBegun()
     {
-        Bench bench;
+        DispatchHarness harness;
         ScriptedAnswer waits = answer(200, { event(1) });
         waits.startsWhen = [] { return false; };
-        waits.before = [&] { hold(bench, "/chat/1"); };
-        bench.client.expect(firstServer, waits);
+        waits.before = [&] { hold(harness, "/chat/1"); };
+        harness.client.expect(firstServer, waits);
         const auto caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/1", {}, "body" });
-        bench.serve([&](IoContext &) { return caller; }, bench.client);
+        harness.serve([&](IoContext &) { return caller; }, harness.client);
         CPPUNIT_ASSERT_EQUAL(502, caller->response.status);
-        CPPUNIT_ASSERT_EQUAL(1, bench.client.cancelled());
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(1, harness.client.cancelled());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
     }
 
     void trialSendsItToOneServer()
     {
-        Bench bench;
-        hold(bench, "/safe/1");
-        bench.trials.left = 1;
-        bench.client.expect(firstServer, breaksOff({}));
-        bench.client.expect(secondServer, answer(200, { "x" }));
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/safe/1")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, bench.client.sent().size());
-        CPPUNIT_ASSERT_EQUAL(429, bench.serve("/safe/1")->response.status);
-        bench.trials.left = 1;
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/safe/1")->response.status);
-        CPPUNIT_ASSERT(bench.state.quarantine.empty());
+        DispatchHarness harness;
+        hold(harness, "/safe/1");
+        harness.trials.remaining = 1;
+        harness.client.expect(firstServer, truncatedAnswer({}));
+        harness.client.expect(secondServer, answer(200, { "x" }));
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/safe/1")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(429, harness.serve("/safe/1")->response.status);
+        harness.trials.remaining = 1;
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/1")->response.status);
+        CPPUNIT_ASSERT(harness.state.quarantine.empty());
     }
 
 private:
@@ -209,41 +212,45 @@
         return { RequestFingerprint(fingerprint), {}, "route" };
     }
 
-    static void hear(Bench &bench, const std::string &path, const std::set<std::string> &servers)
+    static void hear(DispatchHarness &harness, const std::string &path,
+                     const std::set<std::string> &servers)
     {
         CrashRecord record;
         for (const std::string &server : servers)
             record.ended.insert(HostId(server));
         const RequestFingerprint fingerprint = fingerprintOf("", { "POST", "h", path, "body", {} });
-        bench.state.quarantine.hear(CrashReportSource("another daemon"),
-                                    { { fingerprint, record } }, bench.clock.now());
+        harness.state.quarantine.hear(CrashReportSource("another daemon"),
+                                      { { fingerprint, record } }, harness.clock.now());
     }
 
     // Another daemon has told enough to hold the request back.
-    static void hold(Bench &bench, const std::string &path) { hear(bench, path, { "x", "y" }); }
+    static void hold(DispatchHarness &harness, const std::string &path)
+    {
+        hear(harness, path, { "x", "y" });
+    }
 
     // How many of 8 servers end under a request whose caller comes again and again. A server that
     // has ended is found by nobody.
     static int endedUnder(const std::string &path, const ScriptedAnswer &end)
     {
-        Bench bench;
+        DispatchHarness harness;
         for (int number = 3; number <= servers; ++number) {
             const std::string name = std::to_string(number);
-            bench.fleet.put(server("a" + name, app, serverAt(number)));
-            bench.addReplica("c" + name, serverAt(number), number);
+            harness.fleet.put(server("a" + name, app, serverAt(number)));
+            harness.addReplica("c" + name, serverAt(number), number);
         }
-        bench.rebuild();
+        harness.rebuild();
         int ended = 0;
         ScriptedAnswer counted = end;
         counted.before = [&ended] { ++ended; };
-        bench.client.expect(firstServer, counted);
-        bench.client.expect(secondServer, counted);
+        harness.client.expect(firstServer, counted);
+        harness.client.expect(secondServer, counted);
         for (int number = 3; number <= servers; ++number)
-            bench.client.expect(serverAt(number), counted);
+            harness.client.expect(serverAt(number), counted);
         constexpr int visits = 3 * servers;
         for (int visit = 0; visit < visits; ++visit) {
-            bench.serve(path);
-            bench.clock.advance(std::chrono::seconds(1));
+            harness.serve(path);
+            harness.clock.advance(std::chrono::seconds(1));
         }
         return ended;
     }
--- a/ramphinge/dispatch/dispatch_test.cpp
+++ b/ramphinge/dispatch/dispatch_test.cpp
@@ -75,7 +75,7 @@
         for (int i = 0; i < 60;
              ++i) { // In small steps: a long one would be the daemon's own pause.
             m_clock.advance(std::chrono::milliseconds(50));
-            giveTurns(m_io, yield);
+            runReadyHandlers(m_io, yield);
         }
         return RecordedExchange::write(piece, yield);
     }
@@ -145,14 +145,14 @@
 public:
     void answerGoesThroughUnchanged()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { "he", "llo" }));
-        const auto exchange = bench.serve("/safe/x?q=1");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { "he", "llo" }));
+        const auto exchange = harness.serve("/safe/x?q=1");
         CPPUNIT_ASSERT_EQUAL(200, exchange->response.status);
         CPPUNIT_ASSERT_EQUAL(std::string("hello"), exchange->response.body);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        const HttpRequest &sent = bench.client.sent()[0].request;
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        const HttpRequest &sent = harness.client.sent()[0].request;
         CPPUNIT_ASSERT_EQUAL(std::string("/safe/x?q=1"), sent.target);
         CPPUNIT_ASSERT_EQUAL(std::string("body"), sent.body);
         CPPUNIT_ASSERT(sent.headers.find("expect") == "a1");
@@ -160,117 +160,118 @@
 
     void unknownRoutesAndKeysAreRefused()
     {
-        Bench bench;
-        CPPUNIT_ASSERT_EQUAL(404, bench.serve("/nowhere")->response.status);
-        CPPUNIT_ASSERT_EQUAL(401, bench.serve("/private/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(401, bench.serve("/private/x", { { "key", "no" } })->response.status);
-        bench.client.expect(firstServer, answer(200, { "ok" }));
+        DispatchHarness harness;
+        CPPUNIT_ASSERT_EQUAL(404, harness.serve("/nowhere")->response.status);
+        CPPUNIT_ASSERT_EQUAL(401, harness.serve("/private/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(401,
+                             harness.serve("/private/x", { { "key", "no" } })->response.status);
+        harness.client.expect(firstServer, answer(200, { "ok" }));
         CPPUNIT_ASSERT_EQUAL(200,
-                             bench.serve("/private/x", { { "key", "secret" } })->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+                             harness.serve("/private/x", { { "key", "secret" } })->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
     void daemonWithoutCatalogSaysNotRunOnly()
     {
-        Bench bench;
-        bench.state.catalog = nullptr;
-        const auto exchange = bench.serve("/safe/x");
+        DispatchHarness harness;
+        harness.state.catalog = nullptr;
+        const auto exchange = harness.serve("/safe/x");
         CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
     void staleDaemonRefusesEveryKey()
     {
-        Bench bench;
-        bench.clock.advance(std::chrono::seconds(5));
+        DispatchHarness harness;
+        harness.clock.advance(std::chrono::seconds(5));
         // A known key may have been taken away, an unknown one may be new.
         for (const char *key : { "secret", "unknown" }) {
-            const auto exchange = bench.serve("/private/x", { { "key", key } });
+            const auto exchange = harness.serve("/private/x", { { "key", key } });
             CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
             CPPUNIT_ASSERT(hasRetryAfter(*exchange));
         }
-        CPPUNIT_ASSERT(bench.client.sent().empty());
-        bench.client.expect(firstServer, answer(200, { "ok" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/safe/x")->response.status);
+        CPPUNIT_ASSERT(harness.client.sent().empty());
+        harness.client.expect(firstServer, answer(200, { "ok" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/x")->response.status);
     }
 
     void unreadableRequestIsRefused()
     {
-        Bench bench;
-        CPPUNIT_ASSERT_EQUAL(400, bench.serve("/safe/x", { { "bad", "1" } })->response.status);
+        DispatchHarness harness;
+        CPPUNIT_ASSERT_EQUAL(400, harness.serve("/safe/x", { { "bad", "1" } })->response.status);
     }
 
     void idleConnectionsOfAllDaemonsFitTheServersLimit()
     {
-        Bench bench;
+        DispatchHarness harness;
         CatalogContent limited = content();
         limited.services[0].connectionLimit = 600;
-        bench.state.catalog = std::make_shared<const ServiceCatalog>(limited);
-        bench.state.noteDaemons(300);
-        bench.client.expect(firstServer, answer(200, { "x" }));
-        bench.serve("/safe/1");
-        CPPUNIT_ASSERT_EQUAL(2, bench.client.sent().at(0).options.maxIdleConnections);
+        harness.state.catalog = std::make_shared<const ServiceCatalog>(limited);
+        harness.state.noteDaemons(300);
+        harness.client.expect(firstServer, answer(200, { "x" }));
+        harness.serve("/safe/1");
+        CPPUNIT_ASSERT_EQUAL(2, harness.client.sent().at(0).options.maxIdleConnections);
     }
 
     void refusedRequestGoesToAnotherServer()
     {
         for (const char *path : { "/once/x", "/safe/x" }) {
-            Bench bench;
-            bench.client.expect(firstServer, notRun());
-            bench.client.expect(secondServer, answer(200, { "ok" }));
-            CPPUNIT_ASSERT_EQUAL(200, bench.serve(path)->response.status);
+            DispatchHarness harness;
+            harness.client.expect(firstServer, notExecutedAnswer());
+            harness.client.expect(secondServer, answer(200, { "ok" }));
+            CPPUNIT_ASSERT_EQUAL(200, harness.serve(path)->response.status);
         }
     }
 
     void refusedEverywhereIsNotRunWithATimeToComeBack()
     {
-        Bench bench;
-        bench.client.expect(firstServer, notRun());
-        bench.client.expect(secondServer, notRun());
-        const auto exchange = bench.serve("/once/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, notExecutedAnswer());
+        harness.client.expect(secondServer, notExecutedAnswer());
+        const auto exchange = harness.serve("/once/x");
         CPPUNIT_ASSERT_EQUAL(429, exchange->response.status);
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
     void atMostOnceIsNotRepeatedAfterItMayHaveRun()
     {
-        Bench bench;
-        bench.client.expect(firstServer, fails(ScriptedAnswer::Start::NoAnswer));
-        const auto exchange = bench.serve("/once/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoAnswer));
+        const auto exchange = harness.serve("/once/x");
         CPPUNIT_ASSERT_EQUAL(502, exchange->response.status);
         CPPUNIT_ASSERT(!hasRetryAfter(*exchange));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        bench.client.expect(firstServer, breaksOff({ "hal" }));
-        bench.state.targets.succeeded(HostId("a1"), bench.clock.now());
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/once/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        harness.client.expect(firstServer, truncatedAnswer({ "hal" }));
+        harness.state.targets.succeeded(HostId("a1"), harness.clock.now());
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/once/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
     void atMostOnceIsRepeatedIfItWasNeverSent()
     {
-        Bench bench;
-        bench.client.expect(firstServer, fails(ScriptedAnswer::Start::NoConnection));
-        bench.client.expect(secondServer, answer(200, { "ok" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/once/x")->response.status);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoConnection));
+        harness.client.expect(secondServer, answer(200, { "ok" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/once/x")->response.status);
     }
 
     void idempotentIsRepeatedAfterAServerError()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(500, { "oops" }));
-        bench.client.expect(secondServer, answer(200, { "ok" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/safe/x")->response.status);
-        bench.client.expect(firstServer, answer(500, { "oops" }));
-        bench.state.targets.succeeded(HostId("a1"), bench.clock.now());
-        CPPUNIT_ASSERT_EQUAL(500, bench.serve("/once/x")->response.status);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(500, { "oops" }));
+        harness.client.expect(secondServer, answer(200, { "ok" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/x")->response.status);
+        harness.client.expect(firstServer, answer(500, { "oops" }));
+        harness.state.targets.succeeded(HostId("a1"), harness.clock.now());
+        CPPUNIT_ASSERT_EQUAL(500, harness.serve("/once/x")->response.status);
     }
 
     void lastServerErrorIsTheAnswer()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(500, { "one" }));
-        bench.client.expect(secondServer, answer(500, { "two" }));
-        const auto exchange = bench.serve("/safe/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(500, { "one" }));
+        harness.client.expect(secondServer, answer(500, { "two" }));
+        const auto exchange = harness.serve("/safe/x");
         CPPUNIT_ASSERT_EQUAL(500, exchange->response.status);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), exchange->response.body);
     }
@@ -279,11 +280,11 @@
     {
         const HttpHeaders encoded { { "seal", "s" }, { "encoded", "gzip" } };
         for (const HttpHeaders &headers : { HttpHeaders(), encoded }) {
-            Bench bench;
-            bench.client.expect(firstServer, answer(200, { "??" }, headers));
-            bench.client.expect(secondServer, answer(200, { "ok" }));
-            CPPUNIT_ASSERT_EQUAL(std::string("ok"), bench.serve("/safe/x")->response.body);
-            Bench once;
+            DispatchHarness harness;
+            harness.client.expect(firstServer, answer(200, { "??" }, headers));
+            harness.client.expect(secondServer, answer(200, { "ok" }));
+            CPPUNIT_ASSERT_EQUAL(std::string("ok"), harness.serve("/safe/x")->response.body);
+            DispatchHarness once;
             once.client.expect(firstServer, answer(200, { "??" }, headers));
             CPPUNIT_ASSERT_EQUAL(502, once.serve("/once/x")->response.status);
         }
@@ -291,32 +292,32 @@
 
     void attemptsAreBounded()
     {
-        Bench bench;
-        bench.fleet.put(server("a3", app, { "10.0.0.3", 80 }));
-        bench.rebuild();
+        DispatchHarness harness;
+        harness.fleet.put(server("a3", app, { "10.0.0.3", 80 }));
+        harness.rebuild();
         for (const Endpoint &endpoint : { firstServer, secondServer, Endpoint { "10.0.0.3", 80 } })
-            bench.client.expect(endpoint, fails(ScriptedAnswer::Start::NoAnswer));
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/safe/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+            harness.client.expect(endpoint, failedCall(ScriptedAnswer::Start::NoAnswer));
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/safe/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
     void repeatsStayWithinTheBudget()
     {
-        Bench bench;
-        bench.state.budgetOptions.slack = 0;
-        bench.client.expect(firstServer, fails(ScriptedAnswer::Start::NoAnswer));
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/safe/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+        DispatchHarness harness;
+        harness.state.budgetOptions.slack = 0;
+        harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoAnswer));
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/safe/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
     void streamIsPassedOnEventByEvent()
     {
-        Bench bench;
+        DispatchHarness harness;
         const std::string second = event(2);
-        bench.client.expect(
+        harness.client.expect(
             firstServer,
             answer(200, { event(1) + second.substr(0, 5), second.substr(5), event(3) }));
-        const auto exchange = bench.serve("/chat/x");
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
@@ -324,68 +325,68 @@
 
     void brokenStreamGoesOnAfterItsLastWholeEvent()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1), event(2).substr(0, 7) }));
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2).substr(0, 7) }));
         ScriptedAnswer rest = answer(200, { event(2), event(3) }, { { "seal", "other" } });
-        bench.client.expect(secondServer, rest);
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(secondServer, rest);
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
-        CPPUNIT_ASSERT(bench.client.sent()[1].request.headers.find("after") == "1");
+        CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "1");
     }
 
     void streamThatCantGoOnNeverLooksWhole()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1) }));
-        bench.client.expect(secondServer, breaksOff({ event(2) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
+        harness.client.expect(secondServer, truncatedAnswer({ event(2) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(!exchange->finished);
         CPPUNIT_ASSERT(exchange->aborted);
     }
 
     void streamEndingInsideAnEventIsNotWhole()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), "id: 2\nda" }));
-        bench.client.expect(secondServer, answer(200, { event(2) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), "id: 2\nda" }));
+        harness.client.expect(secondServer, answer(200, { event(2) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
     }
 
     void missingEventIsNotPassedOver()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), event(3) }));
-        bench.client.expect(secondServer, answer(200, { event(1), event(2), event(3) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), event(3) }));
+        harness.client.expect(secondServer, answer(200, { event(1), event(2), event(3) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
     }
 
     void streamThatMayNotBeResumedIsNot()
     {
-        Bench bench;
+        DispatchHarness harness;
         CatalogContent changed = content();
         changed.routes[2].resumable = false;
-        bench.state.catalog = std::make_shared<const ServiceCatalog>(changed);
-        bench.client.expect(firstServer, breaksOff({ event(1) }));
-        const auto exchange = bench.serve("/chat/x");
+        harness.state.catalog = std::make_shared<const ServiceCatalog>(changed);
+        harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(exchange->aborted);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
     void callerWhoLeavesCancelsTheWork()
     {
-        Bench bench;
+        DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
         exchange.onWrite = [&exchange] { exchange.leave(); };
-        bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        bench.serve(exchange);
-        CPPUNIT_ASSERT_EQUAL(1, bench.client.cancelled());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        CPPUNIT_ASSERT_EQUAL(0, bench.state.targets.inFlight(HostId("c1")));
+        harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+        harness.serve(exchange);
+        CPPUNIT_ASSERT_EQUAL(1, harness.client.cancelled());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId("c1")));
     }
 
     void eventsAreCutAtAnyPlace()
@@ -415,18 +416,18 @@
 
     void placeThatStandsStillIsLeftOut()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const HostId first("c1");
         targets.sent(first, Tokens(1));
-        targets.began(first, Tokens(1), Milliseconds(50), Milliseconds(50), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        targets.began(first, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == first);
-        bench.clock.advance(std::chrono::milliseconds(500));
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        harness.clock.advance(std::chrono::milliseconds(500));
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == HostId("c2"));
-        targets.progressed(first, bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        targets.progressed(first, harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == first);
     }
 
@@ -434,52 +435,52 @@
     // 290 ms: silence means more at the first. Events of one pass come close together.
     void usualPausesTellWhenAPlaceStandsStill()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const HostId small("c1");
         const HostId large("c2");
         CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(450)); // Nothing is known yet.
         for (const HostId &host : { small, large }) {
             targets.sent(host, Tokens(1));
-            targets.began(host, Tokens(1), Milliseconds(50), Milliseconds(50), bench.clock.now());
+            targets.began(host, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
         }
         for (int at = 1; at <= 2900; ++at) {
-            bench.clock.advance(Milliseconds(1));
+            harness.clock.advance(Milliseconds(1));
             if (at % 40 <= 2)
-                targets.progressed(small, bench.clock.now());
+                targets.progressed(small, harness.clock.now());
             if (at % 290 <= 2)
-                targets.progressed(large, bench.clock.now());
+                targets.progressed(large, harness.clock.now());
         }
         CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(200));
         CPPUNIT_ASSERT(targets.standstillOf(large) == Milliseconds(450));
-        bench.clock.advance(Milliseconds(250));
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        harness.clock.advance(Milliseconds(250));
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == large);
     }
 
     void avoidedPlaceIsStillBetterThanNone()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
-        targets.avoid(HostId("a1"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, bench.clock.now())->host
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
+        targets.avoid(HostId("a1"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, harness.clock.now())->host
                        == HostId("a2"));
-        targets.avoid(HostId("a2"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, bench.clock.now()) != nullptr);
+        targets.avoid(HostId("a2"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, harness.clock.now()) != nullptr);
         CPPUNIT_ASSERT(
-            targets.choose({ app, {}, {}, { HostId("a1"), HostId("a2") } }, bench.clock.now())
+            targets.choose({ app, {}, {}, { HostId("a1"), HostId("a2") } }, harness.clock.now())
             == nullptr);
     }
 
     void replicaOutsideThePlanGetsNothing()
     {
-        Bench bench;
-        bench.plan.replicas[0].phase = ReplicaPhase::Broken;
-        bench.plan.replicas[1].epoch = Epoch(9); // The head is still of an older forming.
-        bench.rebuild();
-        CPPUNIT_ASSERT(bench.state.targets.choose({ chat, model, {}, {} }, bench.clock.now())
+        DispatchHarness harness;
+        harness.plan.replicas[0].phase = ReplicaPhase::Broken;
+        harness.plan.replicas[1].epoch = Epoch(9); // The head is still of an older forming.
+        harness.rebuild();
+        CPPUNIT_ASSERT(harness.state.targets.choose({ chat, model, {}, {} }, harness.clock.now())
                        == nullptr);
-        const auto exchange = bench.serve("/chat/x");
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
@@ -615,20 +616,20 @@
     // What the upstream sent waits until the caller has read: that is not the upstream's silence.
     void streamIsNotLeftWhileItsCallerIsSlow()
     {
-        Bench bench;
+        DispatchHarness harness;
         ScriptedAnswer first = answer(200, { event(1), event(2) });
         first.holdAfter = 1; // The look comes after the caller has read, and before the next event.
         first.goesOnWhen = [turns = 0]() mutable { return ++turns > 100; };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, answer(200, { event(2) }));
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, answer(200, { event(2) }));
         std::shared_ptr<SlowCaller> caller;
-        bench.serve(
-            [&](IoContext &io) { return caller = std::make_shared<SlowCaller>(io, bench.clock); },
-            bench.client);
+        harness.serve(
+            [&](IoContext &io) { return caller = std::make_shared<SlowCaller>(io, harness.clock); },
+            harness.client);
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
         CPPUNIT_ASSERT(caller->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        CPPUNIT_ASSERT(bench.state.suspicions.take().empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
     // After a pause of the whole process its timers may come before the bytes that arrived
@@ -636,69 +637,69 @@
     void ownPauseIsNoSilenceOfTheUpstream()
     {
         for (const int pausedRead : { 1, 2 }) {
-            Bench bench;
-            bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-            bench.client.expect(secondServer, answer(200, { event(2) }));
-            const auto caller = serveWithTurns(bench, [&](IoContext &io, int read, Yield yield) {
-                giveTurns(io, yield);
+            DispatchHarness harness;
+            harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+            harness.client.expect(secondServer, answer(200, { event(2) }));
+            const auto caller = serveWithTurns(harness, [&](IoContext &io, int read, Yield yield) {
+                runReadyHandlers(io, yield);
                 if (read == pausedRead)
-                    bench.clock.advance(std::chrono::seconds(3));
-                giveTurns(io, yield);
+                    harness.clock.advance(std::chrono::seconds(3));
+                runReadyHandlers(io, yield);
             });
             CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
             CPPUNIT_ASSERT(caller->finished);
-            CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-            CPPUNIT_ASSERT(bench.state.suspicions.take().empty());
+            CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+            CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
         }
     }
 
     // Time that goes by while the daemon looks on is the upstream's own.
     void silenceIsNoticedAfterAPauseToo()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        bench.client.expect(secondServer, answer(200, { event(2) }));
-        const auto caller = serveWithTurns(bench, [&](IoContext &io, int read, Yield yield) {
-            giveTurns(io, yield);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+        harness.client.expect(secondServer, answer(200, { event(2) }));
+        const auto caller = serveWithTurns(harness, [&](IoContext &io, int read, Yield yield) {
+            runReadyHandlers(io, yield);
             if (read != 2)
                 return;
-            bench.clock.advance(std::chrono::seconds(3));
-            giveTurns(io, yield);
+            harness.clock.advance(std::chrono::seconds(3));
+            runReadyHandlers(io, yield);
             for (int i = 0; i < 40; ++i) {
-                bench.clock.advance(std::chrono::milliseconds(50));
-                giveTurns(io, yield);
+                harness.clock.advance(std::chrono::milliseconds(50));
+                runReadyHandlers(io, yield);
             }
         });
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
     // After a pause of the daemon's own all places seem to stand still, as long as their bytes are
     // not read: what was asked meanwhile must not all go to one.
     void placesThatAllSeemStillShareTheRequests()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const Tokens prompt(1);
         for (const char *host : { "c1", "c2" }) {
-            targets.succeeded(HostId(host), bench.clock.now());
+            targets.succeeded(HostId(host), harness.clock.now());
             targets.sent(HostId(host), prompt);
             targets.began(HostId(host), prompt, Milliseconds(50), Milliseconds(50),
-                          bench.clock.now());
+                          harness.clock.now());
         }
-        bench.clock.advance(std::chrono::seconds(3));
+        harness.clock.advance(std::chrono::seconds(3));
         std::map<HostId, int> chosen;
         for (int i = 0; i < 40; ++i) {
             const HostId host =
-                targets.choose({ chat, model, prompt, {} }, bench.clock.now())->host;
+                targets.choose({ chat, model, prompt, {} }, harness.clock.now())->host;
             targets.sent(host, prompt);
             ++chosen[host];
         }
         CPPUNIT_ASSERT(chosen[HostId("c1")] >= 10);
         CPPUNIT_ASSERT(chosen[HostId("c2")] >= 10);
         // One that was not reachable comes after one that only seems still.
-        targets.avoid(HostId("c1"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, prompt, {} }, bench.clock.now())->host
+        targets.avoid(HostId("c1"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, prompt, {} }, harness.clock.now())->host
                        == HostId("c2"));
     }
 
@@ -708,57 +709,57 @@
     // it then stayed for good, some hundred bytes for each server that ever left so.
     void placeThatLeftIsNotRememberedAnew()
     {
-        Bench bench;
+        DispatchHarness harness;
         const HostId host("a1");
-        TargetTable &targets = bench.state.targets;
+        TargetTable &targets = harness.state.targets;
         targets.sent(host, Tokens(0));
-        bench.fleet.remove(incarnationOf(host).name, bench.clock.now());
-        bench.rebuild();
+        harness.fleet.remove(incarnationOf(host).name, harness.clock.now());
+        harness.rebuild();
         targets.ended(host, Tokens(0), false);
-        targets.failed(host, bench.clock.now());
-        targets.avoid(host, bench.clock.now());
-        targets.succeeded(host, bench.clock.now());
-        targets.progressed(host, bench.clock.now());
+        targets.failed(host, harness.clock.now());
+        targets.avoid(host, harness.clock.now());
+        targets.succeeded(host, harness.clock.now());
+        targets.progressed(host, harness.clock.now());
         CPPUNIT_ASSERT(!targets.remembers(host));
     }
 
     void connectionsToServersThatLeftInTwoStepsAreDropped()
     {
-        Bench bench;
+        DispatchHarness harness;
         const HostId plain("a3");
         const HostId head("c3");
         const Endpoint plainServer { "10.0.0.3", 80 };
         const Endpoint headServer { "10.0.0.4", 80 };
-        bench.fleet.put(server(plain.text(), app, plainServer));
-        bench.addReplica(head.text(), headServer, 3);
-        bench.rebuild();
+        harness.fleet.put(server(plain.text(), app, plainServer));
+        harness.addReplica(head.text(), headServer, 3);
+        harness.rebuild();
         UpstreamServer leaving = server(plain.text(), app, plainServer);
         leaving.draining = true;
-        bench.fleet.put(leaving);
-        bench.plan.replicas.back().phase = ReplicaPhase::Broken;
-        bench.rebuild();
-        CPPUNIT_ASSERT(bench.state.targets.takeDropped().empty()); // They may be at work.
+        harness.fleet.put(leaving);
+        harness.plan.replicas.back().phase = ReplicaPhase::Broken;
+        harness.rebuild();
+        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty()); // They may be at work.
         for (const HostId &host : { plain, head })
-            bench.fleet.remove(incarnationOf(host).name, bench.clock.now());
-        bench.rebuild();
-        const std::vector<Endpoint> dropped = bench.state.targets.takeDropped();
+            harness.fleet.remove(incarnationOf(host).name, harness.clock.now());
+        harness.rebuild();
+        const std::vector<Endpoint> dropped = harness.state.targets.takeDropped();
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), dropped.size());
         CPPUNIT_ASSERT(std::count(dropped.begin(), dropped.end(), plainServer) == 1);
         CPPUNIT_ASSERT(std::count(dropped.begin(), dropped.end(), headServer) == 1);
-        bench.rebuild();
-        CPPUNIT_ASSERT(bench.state.targets.takeDropped().empty());
+        harness.rebuild();
+        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
     }
 
     // Registrations lapse while the store is away, and the daemons are still there: also for the
     // budget of a service that is asked for the first time then.
     void newBudgetCountsTheDaemonsWhoseRegistrationsLapsed()
     {
-        Bench bench;
-        bench.state.noteDaemons(9);
-        bench.state.noteDaemons(1);
-        SharedRetryBudget &budget = bench.state.budgetOf(chat);
+        DispatchHarness harness;
+        harness.state.noteDaemons(9);
+        harness.state.noteDaemons(1);
+        SharedRetryBudget &budget = harness.state.budgetOf(chat);
         int repeats = 0;
-        while (repeats < 20 && budget.take(bench.clock.now()))
+        while (repeats < 20 && budget.take(harness.clock.now()))
             ++repeats;
         // Half of an even share of the slack of 20.
         CPPUNIT_ASSERT_EQUAL(1, repeats);
@@ -767,57 +768,58 @@
     // The operators may change the budget's settings while the daemon runs.
     void changedBudgetHoldsForServicesInUse()
     {
-        Bench bench;
-        CPPUNIT_ASSERT(bench.state.budgetOf(chat).take(bench.clock.now()));
-        bench.state.budgetOptions = { 0, 0, std::chrono::seconds(10) };
-        CPPUNIT_ASSERT(!bench.state.budgetOf(chat).allows(bench.clock.now()));
+        DispatchHarness harness;
+        CPPUNIT_ASSERT(harness.state.budgetOf(chat).take(harness.clock.now()));
+        harness.state.budgetOptions = { 0, 0, std::chrono::seconds(10) };
+        CPPUNIT_ASSERT(!harness.state.budgetOf(chat).allows(harness.clock.now()));
         // What was used before counts against the new bound.
-        bench.state.budgetOptions = { 0, 4, std::chrono::seconds(10) };
-        CPPUNIT_ASSERT(bench.state.budgetOf(chat).take(bench.clock.now()));
-        CPPUNIT_ASSERT(!bench.state.budgetOf(chat).allows(bench.clock.now()));
+        harness.state.budgetOptions = { 0, 4, std::chrono::seconds(10) };
+        CPPUNIT_ASSERT(harness.state.budgetOf(chat).take(harness.clock.now()));
+        CPPUNIT_ASSERT(!harness.state.budgetOf(chat).allows(harness.clock.now()));
     }
 
     // A daemon that was cut off from the store may find a server as the head of another replica
     // than it was before, without having seen it between the two.
     void newReplicaIsNotJudgedByItsHeadsLastOne()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const HostId head("c1");
         targets.sent(head, Tokens(1));
-        targets.began(head, Tokens(1), Milliseconds(50), Milliseconds(50), bench.clock.now());
+        targets.began(head, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
         for (int i = 0; i < 50; ++i) {
-            bench.clock.advance(Milliseconds(40));
-            targets.progressed(head, bench.clock.now());
+            harness.clock.advance(Milliseconds(40));
+            targets.progressed(head, harness.clock.now());
         }
         CPPUNIT_ASSERT(targets.standstillOf(head) == Milliseconds(200));
         targets.ended(head, Tokens(1), true);
         for (int i = 0; i < 5; ++i) {
             targets.sent(head, Tokens(1));
-            targets.began(head, Tokens(1), Milliseconds(900), Milliseconds(50), bench.clock.now());
+            targets.began(head, Tokens(1), Milliseconds(900), Milliseconds(50),
+                          harness.clock.now());
             targets.ended(head, Tokens(1), true);
-            targets.failed(head, bench.clock.now());
+            targets.failed(head, harness.clock.now());
         }
         const auto expected = [&](const HostId &host) {
-            return targets.expectedTime(host, Tokens(1), bench.clock.now());
+            return targets.expectedTime(host, Tokens(1), harness.clock.now());
         };
         CPPUNIT_ASSERT(expected(head) > 2 * expected(HostId("c2")));
-        targets.avoid(head, bench.clock.now());
-        UpstreamServer server = *bench.fleet.find(head);
+        targets.avoid(head, harness.clock.now());
+        UpstreamServer server = *harness.fleet.find(head);
         server.membership->replica = ReplicaId("next");
         server.membership->epoch = Epoch(9);
-        bench.fleet.put(server);
-        bench.plan.replicas[0].replica = ReplicaId("next");
-        bench.plan.replicas[0].epoch = Epoch(9);
-        bench.rebuild();
+        harness.fleet.put(server);
+        harness.plan.replicas[0].replica = ReplicaId("next");
+        harness.plan.replicas[0].epoch = Epoch(9);
+        harness.rebuild();
         CPPUNIT_ASSERT(targets.standstillOf(head) == Milliseconds(450));
         CPPUNIT_ASSERT(expected(head) == expected(HostId("c2")));
         CPPUNIT_ASSERT(
-            targets.choose({ chat, model, Tokens(1), { HostId("c2") } }, bench.clock.now())->host
+            targets.choose({ chat, model, Tokens(1), { HostId("c2") } }, harness.clock.now())->host
             == head);
-        targets.failed(HostId("c2"), bench.clock.now());
-        targets.failed(HostId("c2"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        targets.failed(HostId("c2"), harness.clock.now());
+        targets.failed(HostId("c2"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == head);
     }
 
@@ -829,27 +831,27 @@
     // Evidence: a line "ended_by_exception", and no answer.
     void requestThatCannotBeSentIsAnswered()
     {
-        Bench bench;
+        DispatchHarness harness;
         constexpr std::size_t tooLong = 70'000;
         RecordedExchange caller(
             { "GET", "/safe/x", { { "Long", std::string(tooLong, 'x') } }, {} });
         IoContext io(1);
         runCoroutine(io, [&](Yield yield) {
             const auto client = HttpClient::create(io);
-            UpstreamClient upstreams = bench.upstreamsOver(*client);
-            Dispatcher dispatcher(io, bench.clock, {}, bench.codec, upstreams, bench.probe,
-                                  bench.trials, bench.state, bench.log, bench.metrics);
+            UpstreamClient upstreams = harness.upstreamsOver(*client);
+            Dispatcher dispatcher(io, harness.clock, {}, harness.codec, upstreams, harness.probe,
+                                  harness.trials, harness.state, harness.log, harness.metrics);
             dispatcher.handle(caller, yield);
         });
         CPPUNIT_ASSERT_EQUAL(503, caller.response.status);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     void requestThatCannotBeReadInIsAnswered()
     {
-        Bench bench;
-        bench.codec.onDecode = fail;
-        const auto caller = bench.serve("/once/x");
+        DispatchHarness harness;
+        harness.codec.onDecode = fail;
+        const auto caller = harness.serve("/once/x");
         CPPUNIT_ASSERT_EQUAL(503, caller->response.status);
         CPPUNIT_ASSERT(caller->response.headers.find("Retry-After"));
     }
@@ -857,12 +859,12 @@
     void failureBeforeTheSendingPromisesThatNothingHasRun()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
-            Bench bench;
-            bench.codec.onEncode = fail;
-            const auto caller = bench.serve(path);
+            DispatchHarness harness;
+            harness.codec.onEncode = fail;
+            const auto caller = harness.serve(path);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(path, 503, caller->response.status);
             CPPUNIT_ASSERT_MESSAGE(path, caller->response.headers.find("Retry-After"));
-            assertNothingInFlight(bench);
+            assertNothingInFlight(harness);
         }
     }
 
@@ -871,16 +873,16 @@
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
             for (const bool isSent : { false, true }) {
-                Bench bench;
+                DispatchHarness harness;
                 ScriptedAnswer script = answer(200, { event(1) });
                 if (isSent)
                     script.startsWhen = throwFailure;
                 else
                     script.before = fail;
-                bench.client.expect(firstServer, script);
-                const auto caller = bench.serve(path);
+                harness.client.expect(firstServer, script);
+                const auto caller = harness.serve(path);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(path, isSent ? 502 : 503, caller->response.status);
-                assertNothingInFlight(bench);
+                assertNothingInFlight(harness);
             }
         }
     }
@@ -888,13 +890,13 @@
     void failureAfterTheSendingSaysThatItMayHaveRun()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
-            Bench bench;
-            bench.codec.onDecodeAnswer = fail;
-            bench.client.expect(firstServer, answer(200, { event(1) }));
-            const auto caller = bench.serve(path);
+            DispatchHarness harness;
+            harness.codec.onDecodeAnswer = fail;
+            harness.client.expect(firstServer, answer(200, { event(1) }));
+            const auto caller = harness.serve(path);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(path, 502, caller->response.status);
             CPPUNIT_ASSERT_MESSAGE(path, !caller->response.headers.find("Retry-After"));
-            assertNothingInFlight(bench);
+            assertNothingInFlight(harness);
         }
     }
 
@@ -906,21 +908,22 @@
         return false;
     }
 
-    static void assertNothingInFlight(const Bench &bench)
+    static void assertNothingInFlight(const DispatchHarness &harness)
     {
         for (const char *host : { "a1", "a2", "c1", "c2" })
-            CPPUNIT_ASSERT_EQUAL(0, bench.state.targets.inFlight(HostId(host)));
+            CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId(host)));
     }
 
     // Serves a stream; `beforeRead` gets the number of the read that follows, from 1.
     static std::shared_ptr<RecordedExchange>
-    serveWithTurns(Bench &bench, const std::function<void(IoContext &, int, Yield)> &beforeRead)
+    serveWithTurns(DispatchHarness &harness,
+                   const std::function<void(IoContext &, int, Yield)> &beforeRead)
     {
-        WatchedClient client(bench.client);
+        WatchedClient client(harness.client);
         int reads = 0;
         auto caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/x", {}, "body" });
-        bench.serve(
+        harness.serve(
             [&](IoContext &io) {
                 client.beforeRead = [&](Yield yield) { beforeRead(io, ++reads, yield); };
                 return caller;
--- a/ramphinge/dispatch/internal/dispatch_fixture.h
+++ b/ramphinge/dispatch/internal/dispatch_fixture.h
@@ -1,5 +1,5 @@
-// What the tests of the request path share: a daemon's request path over scripted upstreams, and
-// the answers that these give.
+// Fixture shared by the tests of the request path: the request path of one daemon in front of
+// scripted upstreams, and helpers that build catalogs, events and scripted answers.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 inline const Endpoint firstServer { "10.0.0.1", 80 };
 inline const Endpoint secondServer { "10.0.0.2", 80 };
 
-// A wire of the tests' own: as plain as can be.
+// A minimal wire format for the tests, in which plain headers stand for the fields of a request.
 class TestCodec : public RequestCodec
 {
 public:
@@ -42,7 +42,7 @@
         return request;
     }
 
-    // If set, called before each translation; may throw, as a part that fails would.
+    // If set, called before each conversion. They may throw, to simulate a component that fails.
     std::function<void()> onDecode;
     std::function<void()> onEncode;
     std::function<void()> onDecodeAnswer;
@@ -73,8 +73,9 @@
     bool answers(const HttpHeaders &, const RequestId &) const override { return true; }
 };
 
-// What servers say of themselves, on the tests' own wire.
-class TestStatements : public StatementDecoder
+// Decodes what a server states about itself (rate limit, backoff, leaving) in TestCodec's wire
+// format.
+class TestStatementDecoder : public StatementDecoder
 {
 public:
     ServerStatement decode(int status, const HttpHeaders &headers, WallTime) const override
@@ -92,13 +93,13 @@
     }
 };
 
-inline HttpHeaders sealed()
+inline HttpHeaders authenticHeaders()
 {
     return { { "seal", "s" } };
 }
 
 inline ScriptedAnswer answer(int status, std::vector<std::string> pieces,
-                             HttpHeaders headers = sealed())
+                             HttpHeaders headers = authenticHeaders())
 {
     ScriptedAnswer script;
     script.status = status;
@@ -107,19 +108,19 @@
     return script;
 }
 
-inline ScriptedAnswer notRun()
+inline ScriptedAnswer notExecutedAnswer()
 {
     return answer(503, {}, { { "not-run", "1" } });
 }
 
-inline ScriptedAnswer fails(ScriptedAnswer::Start start)
+inline ScriptedAnswer failedCall(ScriptedAnswer::Start start)
 {
     ScriptedAnswer script;
     script.start = start;
     return script;
 }
 
-inline ScriptedAnswer breaksOff(std::vector<std::string> pieces)
+inline ScriptedAnswer truncatedAnswer(std::vector<std::string> pieces)
 {
     ScriptedAnswer script = answer(200, std::move(pieces));
     script.breaksOff = true;
@@ -169,14 +170,14 @@
     return entry;
 }
 
-// Lets everything else on the loop run, timers that have expired too, several times over.
-inline void giveTurns(IoContext &io, Yield yield)
+// Yields to the event loop repeatedly, so that all other ready handlers and expired timers run.
+inline void runReadyHandlers(IoContext &io, Yield yield)
 {
     for (int i = 0; i < 20; ++i)
         sleepFor(io, {}, yield);
 }
 
-// A server that has a script left is there.
+// Reports a server as alive while scripted answers for it are left.
 class ScriptedProbe : public ServerProbe
 {
 public:
@@ -184,38 +185,41 @@
 
     ProbeVerdict probe(const ServerAddress &server, Duration, Yield) override
     {
-        if (canTell)
+        if (canProbe)
             return m_client.expectsCall(server.endpoint) ? ProbeVerdict::Lives
                                                          : ProbeVerdict::Ended;
         return ProbeVerdict::Unknown;
     }
 
-    bool canTell = true;
+    bool canProbe = true;
 
 private:
     const ScriptedClient &m_client;
 };
 
-// Grants as many trials as it is told to.
-class ScriptedTrials : public TrialGranter
+// Grants the next `remaining` trials of quarantined requests.
+class ScriptedTrialGranter : public TrialGranter
 {
 public:
-    bool grantTrial(const RequestFingerprint &, Yield) override { return left > 0 && left-- > 0; }
+    bool grantTrial(const RequestFingerprint &, Yield) override
+    {
+        return remaining > 0 && remaining-- > 0;
+    }
 
-    int left = 0;
+    int remaining = 0;
 };
 
-// A daemon's request path over scripted upstreams: two of each service. The first has shown itself
-// to be the faster one, so it is asked first.
-class Bench
+// The request path of one daemon in front of scripted upstreams, two for each service. The second
+// upstream of each has a recorded failure, so the first one is preferred.
+class DispatchHarness
 {
 public:
-    Bench()
+    DispatchHarness()
         : state(Freshness(std::chrono::seconds(5), std::chrono::milliseconds(500)),
                 TargetTable(options(), 1), { 0.2, 20, std::chrono::seconds(10) }),
           log(clock, {})
     {
-        clock.advance(std::chrono::seconds(60)); // It has run for longer than the budget's window.
+        clock.advance(std::chrono::seconds(60)); // Start later than one window of the retry budget.
         state.catalog = std::make_shared<const ServiceCatalog>(content());
         state.freshness.prove(clock.now());
         addReplica("c1", firstServer, 1);
@@ -249,7 +253,7 @@
                                   { HostId(host) } });
     }
 
-    // Serves one request; the exchange holds what the caller got.
+    // Serves one request; the exchange records what the caller received.
     std::shared_ptr<RecordedExchange> serve(const std::string &path, HttpHeaders headers = {})
     {
         auto exchange = std::make_shared<RecordedExchange>(
@@ -268,26 +272,26 @@
         });
     }
 
-    // Serves a request whose exchange takes turns on the loop. Stalls are looked for all the time.
-    void serve(const std::function<std::shared_ptr<RecordedExchange>(IoContext &)> &callerOn,
+    // Serves a request whose exchange yields to the event loop, with continuous stall checks.
+    void serve(const std::function<std::shared_ptr<RecordedExchange>(IoContext &)> &makeCaller,
                HttpClient &http)
     {
-        lookForStallsAllTheTime();
+        checkForStallsContinuously();
         IoContext io(1);
-        UpstreamClient others = upstreamsOver(http);
+        UpstreamClient clientUpstreams = upstreamsOver(http);
         runCoroutine(io, [&](Yield yield) {
-            Dispatcher dispatcher(io, clock, dispatchOptions, codec, others, probe, trials, state,
-                                  log, metrics);
-            dispatcher.handle(*callerOn(io), yield);
+            Dispatcher dispatcher(io, clock, dispatchOptions, codec, clientUpstreams, probe, trials,
+                                  state, log, metrics);
+            dispatcher.handle(*makeCaller(io), yield);
         });
     }
 
-    // A few turns of the loop outlast the time between two looks.
-    void lookForStallsAllTheTime()
+    // Makes the interval between stall checks shorter than a few iterations of the event loop.
+    void checkForStallsContinuously()
     {
-        constexpr Duration look = std::chrono::nanoseconds(1);
-        dispatchOptions.stallLook = look;
-        dispatchOptions.retryAfter = look; // The next look after a refusal.
+        constexpr Duration checkInterval = std::chrono::nanoseconds(1);
+        dispatchOptions.stallLook = checkInterval;
+        dispatchOptions.retryAfter = checkInterval; // Until the next attempt after a refusal.
     }
 
     static TargetTableOptions options()
@@ -302,13 +306,13 @@
     TestCodec codec;
     ScriptedClient client;
     ScriptedProbe probe { client };
-    ScriptedTrials trials;
+    ScriptedTrialGranter trials;
     DispatchState state;
     FleetView fleet;
     ReplicaPlan plan;
     DecisionLog log;
     Metrics metrics;
-    TestStatements statements;
+    TestStatementDecoder statements;
     UpstreamClient upstreams = upstreamsOver(client);
 };
 
--- a/ramphinge/dispatch/server_backoff_test.cpp
+++ b/ramphinge/dispatch/server_backoff_test.cpp
@@ -29,12 +29,12 @@
     // Serves requests for a while.
     void play(Duration length, const ScriptedAnswer &first, const ScriptedAnswer &second)
     {
-        const MonotonicTime end = bench.clock.now() + length;
-        while (bench.clock.now() < end) {
-            bench.clock.advance(pause);
+        const MonotonicTime end = harness.clock.now() + length;
+        while (harness.clock.now() < end) {
+            harness.clock.advance(pause);
             expect(firstServer, first);
             expect(secondServer, second);
-            served += bench.serve(m_path)->response.status == 200 ? 1 : 0;
+            served += harness.serve(m_path)->response.status == 200 ? 1 : 0;
         }
     }
 
@@ -47,17 +47,17 @@
                              [=](MonotonicTime at) { return at >= start && at < end; });
     }
 
-    Bench bench;
+    DispatchHarness harness;
     std::map<Endpoint, std::vector<MonotonicTime>> arrivals;
     int served = 0;
 
 private:
     void expect(const Endpoint &server, ScriptedAnswer answered)
     {
-        if (bench.client.expectsCall(server))
+        if (harness.client.expectsCall(server))
             return;
-        answered.before = [this, server] { arrivals[server].push_back(bench.clock.now()); };
-        bench.client.expect(server, std::move(answered));
+        answered.before = [this, server] { arrivals[server].push_back(harness.clock.now()); };
+        harness.client.expect(server, std::move(answered));
     }
 
     std::string m_path;
@@ -91,36 +91,36 @@
 
     void repeatDoesNotGoToAServerThatAskedForBackoff()
     {
-        Bench bench;
-        bench.client.expect(firstServer, asksForBackoff());
-        bench.client.expect(secondServer, answer(200, { "x" }));
-        bench.serve("/safe/1");
-        bench.client.expect(firstServer, answer(200, { "x" }));
-        bench.client.expect(secondServer, answer(500, { "its own" }));
-        bench.clock.advance(std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(500, bench.serve("/safe/1")->response.status);
-        CPPUNIT_ASSERT(bench.client.expectsCall(firstServer));
+        DispatchHarness harness;
+        harness.client.expect(firstServer, asksForBackoff());
+        harness.client.expect(secondServer, answer(200, { "x" }));
+        harness.serve("/safe/1");
+        harness.client.expect(firstServer, answer(200, { "x" }));
+        harness.client.expect(secondServer, answer(500, { "its own" }));
+        harness.clock.advance(std::chrono::seconds(1));
+        CPPUNIT_ASSERT_EQUAL(500, harness.serve("/safe/1")->response.status);
+        CPPUNIT_ASSERT(harness.client.expectsCall(firstServer));
     }
 
     void callerIsRefusedAtOnceUntilAServerMayBeAskedAgain()
     {
-        Bench bench;
-        askForBackoff(bench, "a1", 3);
-        askForBackoff(bench, "a2", 2);
-        bench.clock.advance(std::chrono::seconds(1));
-        const auto caller = bench.serve("/safe/1");
+        DispatchHarness harness;
+        askForBackoff(harness, "a1", 3);
+        askForBackoff(harness, "a2", 2);
+        harness.clock.advance(std::chrono::seconds(1));
+        const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(503, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("servers_backing_off") != std::string::npos);
-        CPPUNIT_ASSERT(bench.client.sent().empty());
+        CPPUNIT_ASSERT(harness.client.sent().empty());
         expectReturnIn(*caller, 1, 1.3);
     }
 
     void callerThatWasTurnedAwayIsToldWhenToComeBack()
     {
-        Bench bench;
-        bench.client.expect(firstServer, asksForBackoff());
-        bench.client.expect(secondServer, asksForBackoff());
-        const auto caller = bench.serve("/safe/1");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, asksForBackoff());
+        harness.client.expect(secondServer, asksForBackoff());
+        const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(429, caller->response.status);
         expectReturnIn(*caller, 3, 3.3);
     }
@@ -131,12 +131,12 @@
 
     void backoffOfAnotherServerAtTheAddressCountsForNothing()
     {
-        Bench bench;
-        bench.client.expect(firstServer,
-                            answer(421, {}, { { "not-run", "1" }, { "backoff", "3" } }));
-        bench.client.expect(secondServer, answer(200, { "x" }));
-        bench.serve("/safe/1");
-        CPPUNIT_ASSERT(bench.state.gate.backoffs().states(bench.clock.now()).empty());
+        DispatchHarness harness;
+        harness.client.expect(firstServer,
+                              answer(421, {}, { { "not-run", "1" }, { "backoff", "3" } }));
+        harness.client.expect(secondServer, answer(200, { "x" }));
+        harness.serve("/safe/1");
+        CPPUNIT_ASSERT(harness.state.gate.backoffs().states(harness.clock.now()).empty());
     }
 
     void serverThatSaysThatItLeavesGetsNothingMore() { expectLeavingKept("/safe/1"); }
@@ -145,22 +145,22 @@
 
     void callerIsRefusedAtOnceWhenAllServersLeave()
     {
-        Bench bench;
+        DispatchHarness harness;
         for (const char *host : { "a1", "a2" })
-            bench.state.gate.hearLeaving(HostId(host));
-        const auto caller = bench.serve("/safe/1");
+            harness.state.gate.hearLeaving(HostId(host));
+        const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(503, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("no_upstream") != std::string::npos);
-        CPPUNIT_ASSERT(bench.client.sent().empty());
+        CPPUNIT_ASSERT(harness.client.sent().empty());
     }
 
 private:
-    static void askForBackoff(Bench &bench, const char *host, double seconds)
+    static void askForBackoff(DispatchHarness &harness, const char *host, double seconds)
     {
         ServerStatement refusal;
         refusal.backoff = scaled(std::chrono::seconds(1), seconds);
-        bench.state.gate.noteAnswer({ HostId(host), ZoneId("z") }, refusal, bench.clock.now(),
-                                    bench.clock.now());
+        harness.state.gate.noteAnswer({ HostId(host), ZoneId("z") }, refusal, harness.clock.now(),
+                                      harness.clock.now());
     }
 
     static void expectReturnIn(const RecordedExchange &caller, double earliest, double latest)
@@ -172,19 +172,19 @@
     // The server asks for backoff while the request's connection is being made.
     static void expectWithheld(const std::string &path, const char *host, const std::string &body)
     {
-        Bench bench;
+        DispatchHarness harness;
         ScriptedAnswer first = answer(200, { body });
         first.connectsWhen = [&] {
-            askForBackoff(bench, host, 3);
+            askForBackoff(harness, host, 3);
             return true;
         };
         bool written = false;
         first.before = [&written] { written = true; };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, answer(200, { body }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve(path)->response.status);
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, answer(200, { body }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve(path)->response.status);
         CPPUNIT_ASSERT(!written);
-        CPPUNIT_ASSERT(bench.client.sent().size() == 2);
+        CPPUNIT_ASSERT(harness.client.sent().size() == 2);
     }
 
     static void expectBackoffKept(const std::string &path)
@@ -203,7 +203,7 @@
     static void expectLeavingKept(const std::string &path)
     {
         PlayedService service(path);
-        HttpHeaders leaving = sealed();
+        HttpHeaders leaving = authenticHeaders();
         leaving.add("leaving", "1");
         service.play(std::chrono::seconds(12), answer(200, { service.body() }, leaving),
                      answer(200, { service.body() }));
--- a/ramphinge/dispatch/server_limit_test.cpp
+++ b/ramphinge/dispatch/server_limit_test.cpp
@@ -30,13 +30,13 @@
         : m_rate(rate), m_path(std::move(path)), m_toldAt(daemons)
     {
         for (int number = 0; number < daemons; ++number)
-            m_daemons.push_back(std::make_unique<Bench>());
+            m_daemons.push_back(std::make_unique<DispatchHarness>());
         std::vector<LimitSharer> sharers;
         for (int number = 0; number < daemons; ++number)
             sharers.push_back({ DaemonId("d" + std::to_string(number)), ZoneId("z") });
         for (int number = 0; number < daemons; ++number) {
-            Bench &bench = *m_daemons[number];
-            bench.state.gate.setDaemons(sharers[number], sharers, bench.clock.now());
+            DispatchHarness &harness = *m_daemons[number];
+            harness.state.gate.setDaemons(sharers[number], sharers, harness.clock.now());
         }
     }
 
@@ -79,21 +79,21 @@
 
     ScriptedAnswer answerOf() const
     {
-        return answer(200, { isStream() ? event(1) : "x" }, sealed());
+        return answer(200, { isStream() ? event(1) : "x" }, authenticHeaders());
     }
 
     void serveAt(std::size_t number)
     {
-        Bench &bench = *m_daemons[number];
+        DispatchHarness &harness = *m_daemons[number];
         ScriptedAnswer limited = answerOf();
         limited.headers.add("limit", std::to_string(m_rate.perSecond()));
         limited.before = [this, number] { noteArrival(number); };
-        if (!bench.client.expectsCall(firstServer))
-            bench.client.expect(firstServer, limited);
-        if (!bench.client.expectsCall(secondServer))
-            bench.client.expect(secondServer, answerOf());
+        if (!harness.client.expectsCall(firstServer))
+            harness.client.expect(firstServer, limited);
+        if (!harness.client.expectsCall(secondServer))
+            harness.client.expect(secondServer, answerOf());
         ++m_asked;
-        m_served += bench.serve(m_path)->response.status == 200 ? 1 : 0;
+        m_served += harness.serve(m_path)->response.status == 200 ? 1 : 0;
     }
 
     void noteArrival(std::size_t number)
@@ -108,7 +108,7 @@
 
     RequestRate m_rate;
     std::string m_path;
-    std::vector<std::unique_ptr<Bench>> m_daemons;
+    std::vector<std::unique_ptr<DispatchHarness>> m_daemons;
     std::vector<std::optional<MonotonicTime>> m_toldAt; // By daemon.
     std::vector<MonotonicTime> m_arrivals; // From daemons that have been told for `notice`.
     int m_asked = 0;
@@ -133,24 +133,24 @@
 
     void callerIsRefusedAtOnceWhenNoServerAcceptsMore()
     {
-        Bench bench;
-        limitAll(bench);
-        const auto caller = bench.serve("/safe/1");
+        DispatchHarness harness;
+        limitAll(harness);
+        const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(429, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("rate_limited") != std::string::npos);
         CPPUNIT_ASSERT(caller->response.headers.find("Retry-After").has_value());
-        CPPUNIT_ASSERT(bench.client.sent().empty());
-        bench.client.expect(firstServer, answer(200, { event(1) }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/chat/1")->response.status);
+        CPPUNIT_ASSERT(harness.client.sent().empty());
+        harness.client.expect(firstServer, answer(200, { event(1) }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/chat/1")->response.status);
     }
 
     void returnsOfRefusedCallersAreSpread()
     {
-        Bench bench;
-        limitAll(bench);
+        DispatchHarness harness;
+        limitAll(harness);
         double last = 0;
         for (int caller = 0; caller < 4; ++caller) {
-            const auto refused = bench.serve("/safe/1");
+            const auto refused = harness.serve("/safe/1");
             const std::string after(*refused->response.headers.find("Retry-After"));
             CPPUNIT_ASSERT(std::stod(after) > last);
             last = std::stod(after);
@@ -159,30 +159,31 @@
 
     void repeatDoesNotGoToALimitedServer()
     {
-        Bench bench;
-        bench.state.gate.limits().noteAnswer({ HostId("a2"), ZoneId("z") }, RequestRate(0),
-                                             bench.clock.now(), bench.clock.now());
-        bench.client.expect(firstServer, answer(500, {}));
-        bench.client.expect(secondServer, answer(200, { "x" }));
-        CPPUNIT_ASSERT(bench.serve("/safe/1")->response.status != 200);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, bench.client.sent().size());
+        DispatchHarness harness;
+        harness.state.gate.limits().noteAnswer({ HostId("a2"), ZoneId("z") }, RequestRate(0),
+                                               harness.clock.now(), harness.clock.now());
+        harness.client.expect(firstServer, answer(500, {}));
+        harness.client.expect(secondServer, answer(200, { "x" }));
+        CPPUNIT_ASSERT(harness.serve("/safe/1")->response.status != 200);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
     }
 
     void limitOfAnotherServerAtTheAddressCountsForNothing()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(421, {}, { { "not-run", "1" }, { "limit", "0" } }));
-        bench.client.expect(secondServer, answer(200, { "x" }));
-        bench.serve("/safe/1");
-        CPPUNIT_ASSERT(bench.state.gate.limits().empty());
+        DispatchHarness harness;
+        harness.client.expect(firstServer,
+                              answer(421, {}, { { "not-run", "1" }, { "limit", "0" } }));
+        harness.client.expect(secondServer, answer(200, { "x" }));
+        harness.serve("/safe/1");
+        CPPUNIT_ASSERT(harness.state.gate.limits().empty());
     }
 
 private:
-    static void limitAll(Bench &bench)
+    static void limitAll(DispatchHarness &harness)
     {
         for (const char *host : { "a1", "a2" })
-            bench.state.gate.limits().noteAnswer({ HostId(host), ZoneId("z") }, RequestRate(1),
-                                                 bench.clock.now(), bench.clock.now());
+            harness.state.gate.limits().noteAnswer({ HostId(host), ZoneId("z") }, RequestRate(1),
+                                                   harness.clock.now(), harness.clock.now());
     }
 
     static void expectLimitKept(const std::string &path)
--- a/ramphinge/dispatch/stream_run_test.cpp
+++ b/ramphinge/dispatch/stream_run_test.cpp
@@ -46,7 +46,7 @@
     {
         for (int i = 0; i < 60; ++i) {
             m_clock.advance(std::chrono::milliseconds(50));
-            giveTurns(m_io, yield);
+            runReadyHandlers(m_io, yield);
         }
     }
 
@@ -89,7 +89,7 @@
                 return Error(ErrorKind::Unknown, "cancelled");
             ++m_reads;
             while (m_reads == 2 && !m_cancelled)
-                giveTurns(m_io, yield);
+                runReadyHandlers(m_io, yield);
             return m_inner->read(into, yield);
         }
         void setReadTimeout(Duration timeout) override { m_inner->setReadTimeout(timeout); }
@@ -167,11 +167,11 @@
     // after 20 ms without an event, and the connection closed 2 ms later.
     void streamWithNothingLeftEndsWell()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1), event(2) }));
-        bench.client.expect(secondServer, answer(200, {}, { { "seal", "other" } }));
-        const auto exchange = bench.serve("/chat/x");
-        CPPUNIT_ASSERT(bench.client.sent()[1].request.headers.find("after") == "2");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2) }));
+        harness.client.expect(secondServer, answer(200, {}, { { "seal", "other" } }));
+        const auto exchange = harness.serve("/chat/x");
+        CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "2");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
         CPPUNIT_ASSERT(!exchange->aborted);
@@ -180,45 +180,45 @@
 
     void callerWhoHasEveryEventGetsAnEnd()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, {}));
-        const auto exchange = bench.serve("/chat/x", { { "resume", "2" } });
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, {}));
+        const auto exchange = harness.serve("/chat/x", { { "resume", "2" } });
         CPPUNIT_ASSERT_EQUAL(200, exchange->response.status);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
     void answerWithoutAnyEventIsNotWhole()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, {}));
-        bench.client.expect(secondServer, answer(200, { event(1) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, {}));
+        harness.client.expect(secondServer, answer(200, { event(1) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
     // An upstream that ends before it sends anything closes its connection as well.
     void restWithoutEventOrLengthIsNotWhole()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1), event(2) }));
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2) }));
         ScriptedAnswer rest = answer(200, {});
         rest.endsWithConnection = true;
-        bench.client.expect(secondServer, rest);
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(secondServer, rest);
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(!exchange->finished);
         CPPUNIT_ASSERT(exchange->aborted);
     }
 
     void restThatBreaksOffIsNotWhole()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1), event(2) }));
-        bench.client.expect(secondServer, breaksOff({}));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2) }));
+        harness.client.expect(secondServer, truncatedAnswer({}));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(!exchange->finished);
         CPPUNIT_ASSERT(exchange->aborted);
     }
@@ -236,113 +236,113 @@
     // within 20 ms after it, and the connection closed after the third.
     void stillStreamIsKeptUntilAnotherUpstreamTakesIt()
     {
-        Bench bench;
-        bench.addReplica("c3", thirdServer, 3);
-        bench.addReplica("c4", fourthServer, 4);
-        bench.rebuild();
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 4));
+        DispatchHarness harness;
+        harness.addReplica("c3", thirdServer, 3);
+        harness.addReplica("c4", fourthServer, 4);
+        harness.rebuild();
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 4));
         for (const Endpoint &full : { secondServer, thirdServer, fourthServer })
-            bench.client.expect(full, notRun());
-        const auto exchange = bench.serve("/chat/x");
+            harness.client.expect(full, notExecutedAnswer());
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(4), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(4), harness.client.sent().size());
     }
 
     void streamThatMovesAgainStaysWhereItIs()
     {
-        Bench bench;
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 2));
-        ScriptedAnswer slow = notRun();
-        slow.startsWhen = [&bench] { return bench.client.cancelled() > 0; };
-        bench.client.expect(secondServer, slow);
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
+        ScriptedAnswer slow = notExecutedAnswer();
+        slow.startsWhen = [&harness] { return harness.client.cancelled() > 0; };
+        harness.client.expect(secondServer, slow);
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
-        CPPUNIT_ASSERT_EQUAL(1, bench.client.cancelled());
-        assertNothingInFlight(bench);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(1, harness.client.cancelled());
+        assertNothingInFlight(harness);
     }
 
     void stillStreamGoesOnWhereItIsTaken()
     {
-        Bench bench;
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 9));
-        bench.client.expect(secondServer, answer(200, { event(2), event(3) }));
-        const auto exchange = bench.serve("/chat/x");
-        CPPUNIT_ASSERT(bench.client.sent()[1].request.headers.find("after") == "1");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 9));
+        harness.client.expect(secondServer, answer(200, { event(2), event(3) }));
+        const auto exchange = harness.serve("/chat/x");
+        CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "1");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(1, bench.client.cancelled());
-        assertNothingInFlight(bench);
+        CPPUNIT_ASSERT_EQUAL(1, harness.client.cancelled());
+        assertNothingInFlight(harness);
     }
 
     void callerWhoLeavesCancelsBothUpstreams()
     {
-        Bench bench;
+        DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 9));
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 9));
         ScriptedAnswer never = answer(200, { event(2) });
         never.before = [&exchange] { exchange.leave(); };
         never.startsWhen = [] { return false; };
-        bench.client.expect(secondServer, never);
-        bench.serve(exchange);
-        CPPUNIT_ASSERT_EQUAL(2, bench.client.cancelled());
-        assertNothingInFlight(bench);
+        harness.client.expect(secondServer, never);
+        harness.serve(exchange);
+        CPPUNIT_ASSERT_EQUAL(2, harness.client.cancelled());
+        assertNothingInFlight(harness);
     }
 
     // The first upstream breaks off while the second one has not answered yet: its answer counts,
     // so that the two attempts which are allowed are enough.
     void upstreamThatIsAskedAlreadyGoesOnAfterABreak()
     {
-        Bench bench;
-        changeRoute(bench, neverTimesOut);
+        DispatchHarness harness;
+        changeRoute(harness, neverTimesOut);
         bool brokeOff = false;
-        ScriptedAnswer first = pausesAfterFirstEvent(bench, 2);
+        ScriptedAnswer first = pausesAfterFirstEvent(harness, 2);
         first.pieces.pop_back();
         first.breaksOff = true;
         first.goesOnWhen = [pause = first.goesOnWhen, &brokeOff] {
             brokeOff = pause();
             return brokeOff;
         };
-        bench.client.expect(firstServer, first);
+        harness.client.expect(firstServer, first);
         ScriptedAnswer second = answer(200, { event(2) });
         second.startsWhen = [&brokeOff, turns = 0]() mutable { return brokeOff && ++turns > 10; };
-        bench.client.expect(secondServer, second);
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(secondServer, second);
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
-        assertNothingInFlight(bench);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
+        assertNothingInFlight(harness);
     }
 
     // Of two attempts that are allowed, an upstream uses one, whether its head has come or not.
     void upstreamThatOnlySentItsHeadIsLeftToo()
     {
-        Bench bench;
-        ScriptedAnswer onlyHead = pausesAfterFirstEvent(bench, 9);
+        DispatchHarness harness;
+        ScriptedAnswer onlyHead = pausesAfterFirstEvent(harness, 9);
         onlyHead.holdAfter = 0;
         onlyHead.goesOnWhen = [pause = onlyHead.goesOnWhen, turns = 0]() mutable {
             constexpr int patience =
                 100'000; // Turns of the loop; ends the test if nobody is asked.
             return pause() || ++turns > patience;
         };
-        bench.client.expect(firstServer, onlyHead);
-        bench.client.expect(secondServer, answer(200, { event(1) }));
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(firstServer, onlyHead);
+        harness.client.expect(secondServer, answer(200, { event(1) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1), exchange->response.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
     void askedUpstreamIsCancelledAsSoonAsThePresentOneGoesOn()
     {
-        Bench bench;
+        DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
         std::vector<int> cancelled; // At each write.
-        exchange.onWrite = [&] { cancelled.push_back(bench.client.cancelled()); };
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 2));
-        bench.client.expect(secondServer, neverAnswers());
-        bench.serve(exchange);
+        exchange.onWrite = [&] { cancelled.push_back(harness.client.cancelled()); };
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
+        harness.client.expect(secondServer, neverAnswers());
+        harness.serve(exchange);
         CPPUNIT_ASSERT(exchange.finished);
         CPPUNIT_ASSERT((cancelled == std::vector<int> { 0, 1 }));
     }
@@ -350,24 +350,25 @@
     // ... also if it goes on with its end; the caller may be slow to take that.
     void askedUpstreamIsCancelledWhenTheAnswerEnds()
     {
-        Bench bench;
-        ScriptedAnswer first = pausesAfterFirstEvent(bench, 2);
+        DispatchHarness harness;
+        ScriptedAnswer first = pausesAfterFirstEvent(harness, 2);
         first.pieces.pop_back();
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, neverAnswers());
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, neverAnswers());
         int cancelled = 0;
-        const auto caller = serveSlowCaller(bench, [&] { cancelled = bench.client.cancelled(); });
+        const auto caller =
+            serveSlowCaller(harness, [&] { cancelled = harness.client.cancelled(); });
         CPPUNIT_ASSERT(caller->finished);
         CPPUNIT_ASSERT_EQUAL(1, cancelled);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     void callerWhoLeavesEndsTheWaitForAnotherUpstream()
     {
-        Bench bench;
-        changeRoute(bench, neverTimesOut);
+        DispatchHarness harness;
+        changeRoute(harness, neverTimesOut);
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
-        bench.client.expect(firstServer, pausesAndBreaksOff(bench, { event(1) }));
+        harness.client.expect(firstServer, pausesAndBreaksOff(harness, { event(1) }));
         ScriptedAnswer never = neverAnswers();
         never.startsWhen = [&exchange, turns = 0]() mutable {
             constexpr int leavesAfter = 100; // The first one has broken off by then.
@@ -375,75 +376,75 @@
                 exchange.leave();
             return false;
         };
-        bench.client.expect(secondServer, never);
-        bench.serve(exchange);
+        harness.client.expect(secondServer, never);
+        harness.serve(exchange);
         CPPUNIT_ASSERT(exchange.gone);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     void deadlineEndsTheAskingOfAnotherUpstream()
     {
-        Bench bench;
-        ScriptedAnswer first = pausesAndBreaksOff(bench, { event(1) });
-        first.goesOnWhen = [&bench, pause = first.goesOnWhen] {
+        DispatchHarness harness;
+        ScriptedAnswer first = pausesAndBreaksOff(harness, { event(1) });
+        first.goesOnWhen = [&harness, pause = first.goesOnWhen] {
             if (!pause())
                 return false;
-            bench.clock.advance(std::chrono::hours(1));
+            harness.clock.advance(std::chrono::hours(1));
             return true;
         };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, neverAnswers());
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, neverAnswers());
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(exchange->aborted);
-        CPPUNIT_ASSERT_EQUAL(2, bench.client.cancelled());
-        assertNothingInFlight(bench);
+        CPPUNIT_ASSERT_EQUAL(2, harness.client.cancelled());
+        assertNothingInFlight(harness);
     }
 
     void streamIsNotMovedAfterItsDeadline()
     {
-        Bench bench;
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 9));
+        DispatchHarness harness;
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 9));
         ScriptedAnswer late = answer(200, { event(2) });
-        late.before = [&bench] { bench.clock.advance(std::chrono::hours(1)); };
-        bench.client.expect(secondServer, late);
-        const auto exchange = bench.serve("/chat/x");
+        late.before = [&harness] { harness.clock.advance(std::chrono::hours(1)); };
+        harness.client.expect(secondServer, late);
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1), exchange->response.body);
         CPPUNIT_ASSERT(exchange->aborted);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     // Whatever becomes of the upstream that was asked, the next one is paid for anew.
     void everyUpstreamThatIsAskedIsPaidFor()
     {
-        const ScriptedAnswer noConnection = fails(ScriptedAnswer::Start::NoConnection);
+        const ScriptedAnswer noConnection = failedCall(ScriptedAnswer::Start::NoConnection);
         for (const ScriptedAnswer &second :
-             { notRun(), noConnection, breaksOff({ event(2) }), neverAnswers() }) {
-            Bench bench;
-            changeRoute(bench, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 3; });
-            bench.state.budgetOptions = { 0, 2, std::chrono::seconds(10) }; // One repeat.
-            addLastReplica(bench);
-            assertOnlyTwoAreAsked(bench, second);
+             { notExecutedAnswer(), noConnection, truncatedAnswer({ event(2) }), neverAnswers() }) {
+            DispatchHarness harness;
+            changeRoute(harness, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 3; });
+            harness.state.budgetOptions = { 0, 2, std::chrono::seconds(10) }; // One repeat.
+            addLastReplica(harness);
+            assertOnlyTwoAreAsked(harness, second);
         }
     }
 
     // Of two attempts that are allowed, the upstream that was asked has used the second.
     void everyUpstreamThatMayHaveRunItCounts()
     {
-        const ScriptedAnswer noAnswer = fails(ScriptedAnswer::Start::NoAnswer);
+        const ScriptedAnswer noAnswer = failedCall(ScriptedAnswer::Start::NoAnswer);
         for (const ScriptedAnswer &second : { noAnswer, answer(500, { "" }), neverAnswers() }) {
-            Bench bench;
-            addLastReplica(bench);
-            assertOnlyTwoAreAsked(bench, second);
+            DispatchHarness harness;
+            addLastReplica(harness);
+            assertOnlyTwoAreAsked(harness, second);
         }
     }
 
     void refusalOfTheAskedUpstreamIsRemembered()
     {
-        Bench bench;
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 2));
-        bench.client.expect(secondServer, answer(421, {}, { { "not-run", "1" } }));
-        bench.serve("/chat/x");
-        const std::vector<ReplicaId> suspected = bench.state.suspicions.take();
+        DispatchHarness harness;
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
+        harness.client.expect(secondServer, answer(421, {}, { { "not-run", "1" } }));
+        harness.serve("/chat/x");
+        const std::vector<ReplicaId> suspected = harness.state.suspicions.take();
         CPPUNIT_ASSERT(std::count(suspected.begin(), suspected.end(), ReplicaId("c1")) == 1);
         CPPUNIT_ASSERT(std::count(suspected.begin(), suspected.end(), ReplicaId("c2")) == 1);
     }
@@ -451,114 +452,114 @@
     // Neither the present upstream nor the one that is asked says anything: a third may take it.
     void askedUpstreamThatStandsStillIsLeftToo()
     {
-        Bench bench;
-        changeRoute(bench, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 3; });
-        addLastReplica(bench);
-        ScriptedAnswer first = pausesAfterFirstEvent(bench, 9);
-        first.goesOnWhen = [&bench, steps = 0]() mutable {
+        DispatchHarness harness;
+        changeRoute(harness, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 3; });
+        addLastReplica(harness);
+        ScriptedAnswer first = pausesAfterFirstEvent(harness, 9);
+        first.goesOnWhen = [&harness, steps = 0]() mutable {
             constexpr int patience = 1000; // Of 5 ms: longer than two upstreams may stand still.
-            bench.clock.advance(std::chrono::milliseconds(5));
+            harness.clock.advance(std::chrono::milliseconds(5));
             return ++steps > patience;
         };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, neverAnswers());
-        bench.client.expect(thirdServer, answer(200, { event(2), event(3) }));
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, neverAnswers());
+        harness.client.expect(thirdServer, answer(200, { event(2), event(3) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), bench.client.sent().size());
-        CPPUNIT_ASSERT_EQUAL(2, bench.client.cancelled());
-        const std::vector<ReplicaId> suspected = bench.state.suspicions.take();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), harness.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(2, harness.client.cancelled());
+        const std::vector<ReplicaId> suspected = harness.state.suspicions.take();
         CPPUNIT_ASSERT(std::count(suspected.begin(), suspected.end(), ReplicaId("c2")) == 1);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     // Also while nothing is known of it: it may have run the request.
     void oneAttemptIsOneUpstream()
     {
-        Bench bench;
-        changeRoute(bench, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 1; });
-        ScriptedAnswer slow = pausesAfterFirstEvent(bench, 2);
+        DispatchHarness harness;
+        changeRoute(harness, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 1; });
+        ScriptedAnswer slow = pausesAfterFirstEvent(harness, 2);
         slow.startsWhen = [pause = slow.goesOnWhen, turns = 0]() mutable {
             constexpr int patience = 10'000; // Turns of the loop.
             return pause() || ++turns > patience;
         };
         slow.goesOnWhen = {};
-        bench.client.expect(firstServer, slow);
-        bench.client.expect(secondServer, answer(200, { event(1) }));
-        const auto exchange = bench.serve("/chat/x");
+        harness.client.expect(firstServer, slow);
+        harness.client.expect(secondServer, answer(200, { event(1) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
     void nextUpstreamIsAskedOnlyAfterAWhile()
     {
-        Bench bench;
-        bench.addReplica("c3", thirdServer, 3);
-        bench.rebuild();
-        ScriptedAnswer first = pausesAfterFirstEvent(bench, 3);
-        bench.dispatchOptions.retryAfter = std::chrono::hours(1);
+        DispatchHarness harness;
+        harness.addReplica("c3", thirdServer, 3);
+        harness.rebuild();
+        ScriptedAnswer first = pausesAfterFirstEvent(harness, 3);
+        harness.dispatchOptions.retryAfter = std::chrono::hours(1);
         first.goesOnWhen = [pause = first.goesOnWhen, turns = 0]() mutable {
             constexpr int patience = 10'000; // Turns of the loop.
             return pause() || ++turns > patience;
         };
-        bench.client.expect(firstServer, first);
+        harness.client.expect(firstServer, first);
         for (const Endpoint &full : { secondServer, thirdServer })
-            bench.client.expect(full, notRun());
-        const auto exchange = bench.serve("/chat/x");
+            harness.client.expect(full, notExecutedAnswer());
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(exchange->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
     // The first upstream goes on in the same moment in which the second one takes the stream.
     void eventThatCrossesTheMoveIsPassedOnOnce()
     {
-        Bench bench;
+        DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
-        serveCrossing(bench, exchange, answer(200, { event(2), event(3) }));
-        CPPUNIT_ASSERT(bench.client.sent()[1].request.headers.find("after") == "1");
+        serveCrossing(harness, exchange, answer(200, { event(2), event(3) }));
+        CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "1");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange.response.body);
         CPPUNIT_ASSERT(exchange.finished);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     // ... and the caller, who is slow to take that, leaves.
     void callerWhoLeavesCancelsTheUpstreamThatTookTheStream()
     {
-        Bench bench;
+        DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
         int cancelled = 0;
         exchange.onWrite = [&, writes = 0]() mutable {
             if (++writes < 2)
                 return;
             exchange.leave();
-            cancelled = bench.client.cancelled();
+            cancelled = harness.client.cancelled();
         };
-        serveCrossing(bench, exchange, answer(200, { event(2), event(3) }));
+        serveCrossing(harness, exchange, answer(200, { event(2), event(3) }));
         CPPUNIT_ASSERT_EQUAL(1, cancelled); // At once, not when the write has ended.
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
     // The upstream has nothing more to do; only the caller is waited for.
     void wholeStreamIsNotLeftWhileItsEndIsWritten()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        bench.client.expect(secondServer, answer(200, {}));
-        const auto caller = serveSlowCaller(bench);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+        harness.client.expect(secondServer, answer(200, {}));
+        const auto caller = serveSlowCaller(harness);
         CPPUNIT_ASSERT(caller->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        CPPUNIT_ASSERT(bench.state.suspicions.take().empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
     void refusalIsNotLeftWhileItIsWritten()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(400, { "no" }));
-        bench.client.expect(secondServer, answer(400, { "no" }));
-        const auto caller = serveSlowCaller(bench);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(400, { "no" }));
+        harness.client.expect(secondServer, answer(400, { "no" }));
+        const auto caller = serveSlowCaller(harness);
         CPPUNIT_ASSERT_EQUAL(400, caller->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        CPPUNIT_ASSERT(bench.state.suspicions.take().empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
     // Users saw a daemon end by a segmentation fault with streams open on it. One way there: each
@@ -571,62 +572,62 @@
     // sanitizer, as it is closed where the watchers are told; and no coroutine may be left.
     void nothingOutlivesAStreamThatFailsAtItsHead()
     {
-        Bench bench;
-        bench.codec.onDecodeAnswer = fail;
-        bench.client.expect(firstServer, answer(200, { event(1) }));
-        const Aftermath after = serveFailing(bench);
-        assertNothingIsLeft(bench, after);
+        DispatchHarness harness;
+        harness.codec.onDecodeAnswer = fail;
+        harness.client.expect(firstServer, answer(200, { event(1) }));
+        const Aftermath after = serveFailing(harness);
+        assertNothingIsLeft(harness, after);
         CPPUNIT_ASSERT_EQUAL(502, after.caller->response.status); // It was sent.
     }
 
     void nothingOutlivesAStreamThatFailsWhileItWaits()
     {
-        Bench bench;
+        DispatchHarness harness;
         ScriptedAnswer waits = answer(200, { event(1) });
         waits.startsWhen = []() -> bool { throw std::length_error("a test's failure"); };
-        bench.client.expect(firstServer, waits);
-        const Aftermath after = serveFailing(bench);
-        assertNothingIsLeft(bench, after);
+        harness.client.expect(firstServer, waits);
+        const Aftermath after = serveFailing(harness);
+        assertNothingIsLeft(harness, after);
         CPPUNIT_ASSERT_EQUAL(502, after.caller->response.status);
     }
 
     void nothingOutlivesAStreamThatFailsBetweenItsEvents()
     {
-        Bench bench;
+        DispatchHarness harness;
         ScriptedAnswer breaks = answer(200, { event(1), event(2) });
         breaks.holdAfter = 1;
         breaks.goesOnWhen = []() -> bool { throw std::length_error("a test's failure"); };
-        bench.client.expect(firstServer, breaks);
-        const Aftermath after = serveFailing(bench);
-        assertNothingIsLeft(bench, after);
+        harness.client.expect(firstServer, breaks);
+        const Aftermath after = serveFailing(harness);
+        assertNothingIsLeft(harness, after);
         CPPUNIT_ASSERT(after.caller->aborted); // It has a part: the answer must not look whole.
     }
 
     void nothingOutlivesAStreamThatFailsWhileItIsPassedOn()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1) }));
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1) }));
         const Aftermath after =
-            serveFailing(bench, [](RecordedExchange &caller) { caller.onWrite = fail; });
-        assertNothingIsLeft(bench, after);
+            serveFailing(harness, [](RecordedExchange &caller) { caller.onWrite = fail; });
+        assertNothingIsLeft(harness, after);
         CPPUNIT_ASSERT(after.caller->aborted);
     }
 
     // The present upstream fails by an exception while the other one has not answered.
     void nothingOutlivesAStreamThatFailsWhileAnotherUpstreamIsAsked()
     {
-        Bench bench;
-        ScriptedAnswer pauses = pausesAfterFirstEvent(bench, 2);
-        pauses.goesOnWhen = [inner = pauses.goesOnWhen, &bench]() -> bool {
+        DispatchHarness harness;
+        ScriptedAnswer pauses = pausesAfterFirstEvent(harness, 2);
+        pauses.goesOnWhen = [inner = pauses.goesOnWhen, &harness]() -> bool {
             inner();
-            if (bench.client.sent().size() == 2)
+            if (harness.client.sent().size() == 2)
                 fail();
             return false;
         };
-        bench.client.expect(firstServer, pauses);
-        bench.client.expect(secondServer, neverAnswers());
-        const Aftermath after = serveFailing(bench);
-        assertNothingIsLeft(bench, after);
+        harness.client.expect(firstServer, pauses);
+        harness.client.expect(secondServer, neverAnswers());
+        const Aftermath after = serveFailing(harness);
+        assertNothingIsLeft(harness, after);
         CPPUNIT_ASSERT(after.caller->aborted);
     }
 
@@ -634,15 +635,15 @@
     // end isn't kept waiting by the one that was asked.
     void streamGoesOnIfAskingAnotherUpstreamFails()
     {
-        Bench bench;
-        bench.codec.onDecodeAnswer = [heads = std::make_shared<int>(0)] {
+        DispatchHarness harness;
+        harness.codec.onDecodeAnswer = [heads = std::make_shared<int>(0)] {
             if (++*heads == 2)
                 fail();
         };
-        bench.client.expect(firstServer, pausesAfterFirstEvent(bench, 2));
-        bench.client.expect(secondServer, answer(200, { event(2) }));
-        const Aftermath after = serveFailing(bench);
-        assertNothingIsLeft(bench, after);
+        harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
+        harness.client.expect(secondServer, answer(200, { event(2) }));
+        const Aftermath after = serveFailing(harness);
+        assertNothingIsLeft(harness, after);
         CPPUNIT_ASSERT(after.caller->finished);
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), after.caller->response.body);
     }
@@ -651,24 +652,24 @@
     void upstreamThatWasAskedInVainIsReleasedAtOnce()
     {
         constexpr int turnsUntilItGoesOn = 20;
-        Bench bench;
+        DispatchHarness harness;
         bool failed = false;
-        bench.codec.onDecodeAnswer = [&failed, heads = 0]() mutable {
+        harness.codec.onDecodeAnswer = [&failed, heads = 0]() mutable {
             failed = ++heads == 2;
             if (failed)
                 fail();
         };
-        ScriptedAnswer first = pausesAfterFirstEvent(bench, 2);
+        ScriptedAnswer first = pausesAfterFirstEvent(harness, 2);
         first.goesOnWhen = [inner = first.goesOnWhen, &failed, turns = 0]() mutable {
             inner();
             turns += failed ? 1 : 0;
             return turns > turnsUntilItGoesOn;
         };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, answer(200, { event(2) }));
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, answer(200, { event(2) }));
         int underWay = -1; // At the second one, as the last event is written.
-        const Aftermath after = serveFailing(bench, [&](RecordedExchange &caller) {
-            caller.onWrite = [&] { underWay = bench.state.targets.inFlight(HostId("c2")); };
+        const Aftermath after = serveFailing(harness, [&](RecordedExchange &caller) {
+            caller.onWrite = [&] { underWay = harness.state.targets.inFlight(HostId("c2")); };
         });
         CPPUNIT_ASSERT(after.caller->finished);
         CPPUNIT_ASSERT_EQUAL(0, underWay);
@@ -679,26 +680,27 @@
     void streamThatWaitsForAnotherUpstreamIsToldOfItsFailure()
     {
         constexpr int manyTurns = 20'000;
-        Bench bench;
+        DispatchHarness harness;
         bool brokenOff = false;
-        ScriptedAnswer first = pausesAndBreaksOff(bench, { event(1) });
+        ScriptedAnswer first = pausesAndBreaksOff(harness, { event(1) });
         first.goesOnWhen = [inner = first.goesOnWhen, &brokenOff] {
             brokenOff = inner();
             return brokenOff;
         };
         ScriptedAnswer second = answer(200, { event(2) });
         second.startsWhen = [&brokenOff] { return brokenOff; };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, second);
-        bench.codec.onDecodeAnswer = [heads = std::make_shared<int>(0)] {
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, second);
+        harness.codec.onDecodeAnswer = [heads = std::make_shared<int>(0)] {
             if (++*heads == 2)
                 fail();
         };
         RecordedExchange caller({ "POST", "/chat/x", {}, "body" });
         bool served = false;
         IoContext io(1);
-        Dispatcher dispatcher(io, bench.clock, bench.dispatchOptions, bench.codec, bench.upstreams,
-                              bench.probe, bench.trials, bench.state, bench.log, bench.metrics);
+        Dispatcher dispatcher(io, harness.clock, harness.dispatchOptions, harness.codec,
+                              harness.upstreams, harness.probe, harness.trials, harness.state,
+                              harness.log, harness.metrics);
         spawnCoroutine(io, [&](Yield yield) {
             dispatcher.handle(caller, yield);
             served = true;
@@ -722,10 +724,10 @@
         int coroutines = 0; // After the turns, the test's own left out.
     };
 
-    static Aftermath serveFailing(Bench &bench,
+    static Aftermath serveFailing(DispatchHarness &harness,
                                   const std::function<void(RecordedExchange &)> &prepare = {})
     {
-        bench.lookForStallsAllTheTime();
+        harness.checkForStallsContinuously();
         Aftermath after;
         after.caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/x", {}, "body" });
@@ -733,8 +735,9 @@
             prepare(*after.caller);
         const int before = processMarks().coroutines;
         IoContext io(1);
-        Dispatcher dispatcher(io, bench.clock, bench.dispatchOptions, bench.codec, bench.upstreams,
-                              bench.probe, bench.trials, bench.state, bench.log, bench.metrics);
+        Dispatcher dispatcher(io, harness.clock, harness.dispatchOptions, harness.codec,
+                              harness.upstreams, harness.probe, harness.trials, harness.state,
+                              harness.log, harness.metrics);
         // In a coroutine of its own, as of a connection: its stack is freed with the request.
         spawnCoroutine(io, [&](Yield yield) {
             try {
@@ -743,7 +746,7 @@
                 after.leftByException = true;
             }
             for (const char *host : { "c1", "c2" })
-                after.inFlight += bench.state.targets.inFlight(HostId(host));
+                after.inFlight += harness.state.targets.inFlight(HostId(host));
             io.stop();
         });
         io.run();
@@ -751,77 +754,80 @@
         if (after.inFlight > 0)
             return after;
         io.restart();
-        runCoroutine(io, [&io](Yield yield) { giveTurns(io, yield); });
+        runCoroutine(io, [&io](Yield yield) { runReadyHandlers(io, yield); });
         after.coroutines = processMarks().coroutines - before;
         return after;
     }
 
-    static void assertNothingIsLeft(const Bench &bench, const Aftermath &after)
+    static void assertNothingIsLeft(const DispatchHarness &harness, const Aftermath &after)
     {
         CPPUNIT_ASSERT_EQUAL(0, after.inFlight);
         CPPUNIT_ASSERT_EQUAL(0, after.coroutines);
-        CPPUNIT_ASSERT_EQUAL(0, bench.state.targets.streamsUnderWay(HostId("c1")));
+        CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.streamsUnderWay(HostId("c1")));
         CPPUNIT_ASSERT(!after.leftByException);
     }
 
     // Two events of the first server; time goes by between them until the second one is asked.
-    static void serveCrossing(Bench &bench, RecordedExchange &exchange, const ScriptedAnswer &taken)
+    static void serveCrossing(DispatchHarness &harness, RecordedExchange &exchange,
+                              const ScriptedAnswer &taken)
     {
-        bench.lookForStallsAllTheTime();
-        bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        bench.client.expect(secondServer, taken);
+        harness.checkForStallsContinuously();
+        harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+        harness.client.expect(secondServer, taken);
         IoContext io(1);
-        CrossingClient client(io, bench.client);
+        CrossingClient client(io, harness.client);
         bool served = false;
         spawnCoroutine(io, [&](Yield yield) {
             while (!served) {
-                bench.clock.advance(std::chrono::milliseconds(5));
-                giveTurns(io, yield);
+                harness.clock.advance(std::chrono::milliseconds(5));
+                runReadyHandlers(io, yield);
             }
         });
-        UpstreamClient upstreams = bench.upstreamsOver(client);
+        UpstreamClient upstreams = harness.upstreamsOver(client);
         runCoroutine(io, [&](Yield yield) {
-            Dispatcher dispatcher(io, bench.clock, bench.dispatchOptions, bench.codec, upstreams,
-                                  bench.probe, bench.trials, bench.state, bench.log, bench.metrics);
+            Dispatcher dispatcher(io, harness.clock, harness.dispatchOptions, harness.codec,
+                                  upstreams, harness.probe, harness.trials, harness.state,
+                                  harness.log, harness.metrics);
             dispatcher.handle(exchange, yield);
             served = true;
         });
     }
 
     static std::shared_ptr<CallerSlowAtTheEnd>
-    serveSlowCaller(Bench &bench, const std::function<void()> &atTheEnd = {})
+    serveSlowCaller(DispatchHarness &harness, const std::function<void()> &atTheEnd = {})
     {
         std::shared_ptr<CallerSlowAtTheEnd> caller;
-        bench.serve(
+        harness.serve(
             [&](IoContext &io) {
-                caller = std::make_shared<CallerSlowAtTheEnd>(io, bench.clock);
+                caller = std::make_shared<CallerSlowAtTheEnd>(io, harness.clock);
                 caller->atTheEnd = atTheEnd;
                 return caller;
             },
-            bench.client);
+            harness.client);
         return caller;
     }
 
     // One event, then a pause until `sends` requests have been sent in all. Time goes by in small
     // steps: a long one would be a pause of the daemon's own.
-    static ScriptedAnswer pausesAfterFirstEvent(Bench &bench, std::size_t sends)
+    static ScriptedAnswer pausesAfterFirstEvent(DispatchHarness &harness, std::size_t sends)
     {
-        bench.lookForStallsAllTheTime();
+        harness.checkForStallsContinuously();
         ScriptedAnswer script = answer(200, { event(1), event(2) });
         script.holdAfter = 1;
-        script.goesOnWhen = [&bench, sends, steps = 0]() mutable {
+        script.goesOnWhen = [&harness, sends, steps = 0]() mutable {
             constexpr int stepsOfPause = 300; // Of 5 ms: longer than any pause that is allowed.
             if (++steps <= stepsOfPause)
-                bench.clock.advance(std::chrono::milliseconds(5));
-            return bench.client.sent().size() >= sends;
+                harness.clock.advance(std::chrono::milliseconds(5));
+            return harness.client.sent().size() >= sends;
         };
         return script;
     }
 
     // The same, but what follows the pause breaks off.
-    static ScriptedAnswer pausesAndBreaksOff(Bench &bench, std::vector<std::string> pieces)
+    static ScriptedAnswer pausesAndBreaksOff(DispatchHarness &harness,
+                                             std::vector<std::string> pieces)
     {
-        ScriptedAnswer script = pausesAfterFirstEvent(bench, 2);
+        ScriptedAnswer script = pausesAfterFirstEvent(harness, 2);
         script.pieces = std::move(pieces);
         script.breaksOff = true;
         return script;
@@ -834,42 +840,43 @@
         return script;
     }
 
-    static void changeRoute(Bench &bench, const std::function<void(RouteEntry &)> &change)
+    static void changeRoute(DispatchHarness &harness,
+                            const std::function<void(RouteEntry &)> &change)
     {
         CatalogContent changed = content();
         change(changed.routes[2]);
-        bench.state.catalog = std::make_shared<const ServiceCatalog>(changed);
+        harness.state.catalog = std::make_shared<const ServiceCatalog>(changed);
     }
 
     // So that only a wake-up ends a wait before the test is given up.
     static void neverTimesOut(RouteEntry &chatRoute) { chatRoute.timeout = std::chrono::hours(24); }
 
     // One that is asked after the two others.
-    static void addLastReplica(Bench &bench)
+    static void addLastReplica(DispatchHarness &harness)
     {
-        bench.addReplica("c3", thirdServer, 3);
-        bench.rebuild();
+        harness.addReplica("c3", thirdServer, 3);
+        harness.rebuild();
         for (int i = 0; i < 5; ++i)
-            bench.state.targets.failed(HostId("c3"), bench.clock.now());
+            harness.state.targets.failed(HostId("c3"), harness.clock.now());
     }
 
     // The first upstream pauses and breaks off, and the second one is of no use: the third one,
     // which could end the stream, is not asked.
-    static void assertOnlyTwoAreAsked(Bench &bench, const ScriptedAnswer &second)
+    static void assertOnlyTwoAreAsked(DispatchHarness &harness, const ScriptedAnswer &second)
     {
-        bench.client.expect(firstServer, pausesAndBreaksOff(bench, { event(1), event(2) }));
-        bench.client.expect(secondServer, second);
-        bench.client.expect(thirdServer, answer(200, { event(3) }));
-        const auto exchange = bench.serve("/chat/x");
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        harness.client.expect(firstServer, pausesAndBreaksOff(harness, { event(1), event(2) }));
+        harness.client.expect(secondServer, second);
+        harness.client.expect(thirdServer, answer(200, { event(3) }));
+        const auto exchange = harness.serve("/chat/x");
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
         CPPUNIT_ASSERT(exchange->aborted);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
-    static void assertNothingInFlight(const Bench &bench)
+    static void assertNothingInFlight(const DispatchHarness &harness)
     {
         for (const char *host : { "c1", "c2" })
-            CPPUNIT_ASSERT_EQUAL(0, bench.state.targets.inFlight(HostId(host)));
+            CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId(host)));
     }
 };
 
