--- a/ramphinge/dispatch/crashing_request_test.cpp
+++ b/ramphinge/dispatch/crashing_request_test.cpp
@@ -1,15 +1,14 @@
-// Requests that crash each server that runs them, and come again.
+// Tests of requests that crash every server that runs them and that their callers send again.
 //
-// What users saw: for a quarter of a minute at a time most answers were late or failed, while
-// servers went away one after the other. Order of events: a server begins to run a request and
-// ends, within 60 to 100 ms; all that ran beside it is cut off. The daemon puts the end down to the
-// server, passes it over and sends the request to the next one, which ends too. The caller gets 502
-// and comes again, with the same path and body, at any daemon, which knows nothing of it. Cause:
-// ends of servers were remembered against servers only, and nothing tied two attempts of one
-// request together. Evidence: one request's second send went out 0.2 ms after its first server had
-// ended, and its second server ended 56 ms after it began; under two requests 88 servers ended, in
-// a fleet of 60 to which ended ones came back. The tests of ended servers below counted 8 of 8
-// before the repair.
+// Guards against one request crashing server after server: a server crashes within 60 to 100 ms of
+// starting the request, and all other requests on it are cut off. The daemon excludes the server
+// and retries on the next one, which crashes too. The caller gets 502 and sends the same request
+// again, through any daemon, and none of them knows of the earlier crashes. It came about because
+// crashes were recorded against servers only, so that nothing linked the attempts of one request:
+// two requests crashed 88 servers of a fleet of 60 whose servers restarted, and for a quarter of a
+// minute at a time most answers were late or failed. One retry was sent 0.2 ms after the first
+// server had crashed, and the next server crashed 56 ms after starting it. Without the quarantine,
+// the tests that count crashes see 8 of 8 servers crash.
 
 #include "ramphinge/dispatch/internal/dispatch_fixture.h"
 #include "ramphinge/testing/cppunit_main.h"
@@ -19,10 +18,9 @@
 
 namespace {
 
-constexpr int servers = 8;
-// So many ends are borne by the users' promise; each further one is another server lost for
-// nothing.
-constexpr int mostEnds = 3;
+constexpr int serverCount = 8;
+// The service's guarantee allows one request to crash this many servers.
+constexpr int maxCrashes = 3;
 
 Endpoint serverAt(int number)
 {
@@ -32,46 +30,46 @@
 class CrashingRequestTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashingRequestTest);
-    CPPUNIT_TEST(plainRequestEndsThreeServersAtMost);
-    CPPUNIT_TEST(streamEndsThreeServersAtMost);
-    CPPUNIT_TEST(streamThatEndsServersMidwayEndsThreeAtMost);
-    CPPUNIT_TEST(requestThatMayNotRepeatEndsThreeServersAtMost);
-    CPPUNIT_TEST(heldRequestIsRefusedAsNotRun);
-    CPPUNIT_TEST(otherRequestsGoOn);
-    CPPUNIT_TEST(resetConnectionOfAServerThatLivesCountsForNothing);
-    CPPUNIT_TEST(requestSentAfterTheEndHadNothingToDoWithIt);
-    CPPUNIT_TEST(serverThatCannotBeAskedHasEndedIfItGoes);
-    CPPUNIT_TEST(answerElsewhereClearsIt);
-    CPPUNIT_TEST(wordFromAnotherDaemonStopsARepeat);
-    CPPUNIT_TEST(wordFromAnotherDaemonWithdrawsWhatHasNotBegun);
-    CPPUNIT_TEST(trialSendsItToOneServer);
+    CPPUNIT_TEST(plainRequestCrashesAtMostThreeServers);
+    CPPUNIT_TEST(streamCrashesAtMostThreeServers);
+    CPPUNIT_TEST(streamThatCrashesServersMidwayCrashesAtMostThree);
+    CPPUNIT_TEST(atMostOnceRequestCrashesAtMostThreeServers);
+    CPPUNIT_TEST(quarantinedRequestIsRefusedAsNotExecuted);
+    CPPUNIT_TEST(otherRequestsAreServed);
+    CPPUNIT_TEST(connectionResetByALiveServerIsNoCrash);
+    CPPUNIT_TEST(requestSentAfterTheCrashIsNoSuspect);
+    CPPUNIT_TEST(serverThatCannotBeProbedHasCrashedIfItLeavesSoon);
+    CPPUNIT_TEST(completeAnswerElsewhereReleasesTheRequest);
+    CPPUNIT_TEST(crashReportOfAnotherDaemonStopsARetry);
+    CPPUNIT_TEST(crashReportOfAnotherDaemonCancelsAWaitingRequest);
+    CPPUNIT_TEST(trialGoesToOneServer);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void plainRequestEndsThreeServersAtMost()
+    void plainRequestCrashesAtMostThreeServers()
     {
-        CPPUNIT_ASSERT(endedUnder("/safe/1", truncatedAnswer({})) <= mostEnds);
+        CPPUNIT_ASSERT(crashesUnder("/safe/1", truncatedAnswer({})) <= maxCrashes);
     }
 
-    void streamEndsThreeServersAtMost()
+    void streamCrashesAtMostThreeServers()
     {
-        CPPUNIT_ASSERT(endedUnder("/chat/1", truncatedAnswer({})) <= mostEnds);
+        CPPUNIT_ASSERT(crashesUnder("/chat/1", truncatedAnswer({})) <= maxCrashes);
     }
 
-    void streamThatEndsServersMidwayEndsThreeAtMost()
+    void streamThatCrashesServersMidwayCrashesAtMostThree()
     {
-        CPPUNIT_ASSERT(endedUnder("/chat/1", truncatedAnswer({ event(1) })) <= mostEnds);
+        CPPUNIT_ASSERT(crashesUnder("/chat/1", truncatedAnswer({ event(1) })) <= maxCrashes);
     }
 
-    void requestThatMayNotRepeatEndsThreeServersAtMost()
+    void atMostOnceRequestCrashesAtMostThreeServers()
     {
-        CPPUNIT_ASSERT(endedUnder("/once/1", truncatedAnswer({})) <= mostEnds);
+        CPPUNIT_ASSERT(crashesUnder("/once/1", truncatedAnswer({})) <= maxCrashes);
     }
 
-    void heldRequestIsRefusedAsNotRun()
+    void quarantinedRequestIsRefusedAsNotExecuted()
     {
         DispatchHarness harness;
-        hold(harness, "/safe/1");
+        quarantineRequest(harness, "/safe/1");
         const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(429, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("quarantined") != std::string::npos);
@@ -79,81 +77,81 @@
         CPPUNIT_ASSERT(harness.client.sent().empty());
     }
 
-    void otherRequestsGoOn()
+    void otherRequestsAreServed()
     {
         DispatchHarness harness;
-        hold(harness, "/safe/1");
+        quarantineRequest(harness, "/safe/1");
         harness.client.expect(firstServer, answer(200, { "x" }));
         CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/2")->response.status);
     }
 
-    void resetConnectionOfAServerThatLivesCountsForNothing()
+    void connectionResetByALiveServerIsNoCrash()
     {
         DispatchHarness harness;
         for (const Endpoint &endpoint : { firstServer, secondServer }) {
             for (int call = 0; call < 8; ++call)
-                harness.client.expect(endpoint,
-                                      truncatedAnswer({})); // It is there the next time too.
+                harness.client.expect(endpoint, truncatedAnswer({})); // It still runs afterwards.
         }
-        for (int visit = 0; visit < 5; ++visit)
+        for (int attempt = 0; attempt < 5; ++attempt)
             harness.serve("/safe/1");
         CPPUNIT_ASSERT(harness.state.quarantine.empty());
     }
 
-    // Something before a server still accepts connections and ends them.
-    void requestSentAfterTheEndHadNothingToDoWithIt()
+    // A proxy in front of a crashed server may still accept connections and close them.
+    void requestSentAfterTheCrashIsNoSuspect()
     {
         DispatchHarness harness;
         IoContext io(1);
         Quarantine quarantine { QuarantineOptions() };
-        CrashWatch watch(io, harness.clock, {}, harness.probe, quarantine, harness.log,
-                         harness.metrics);
+        CrashWatch detector(io, harness.clock, {}, harness.probe, quarantine, harness.log,
+                            harness.metrics);
         Target target;
         target.host = HostId("a1");
         target.endpoint = firstServer;
         const MonotonicTime sentAt = harness.clock.now();
         harness.clock.advance(std::chrono::seconds(1));
         runCoroutine(io, [&](Yield yield) {
-            const Duration patience = std::chrono::milliseconds(100);
-            watch.connectionEnded(request("was there"), target, sentAt, patience, yield);
+            const Duration timeout = std::chrono::milliseconds(100);
+            detector.connectionEnded(request("was there"), target, sentAt, timeout, yield);
             harness.clock.advance(std::chrono::seconds(1));
-            watch.connectionEnded(request("was there too"), target, sentAt, patience, yield);
-            watch.connectionEnded(request("came later"), target, harness.clock.now(), patience,
-                                  yield);
+            detector.connectionEnded(request("was there too"), target, sentAt, timeout, yield);
+            detector.connectionEnded(request("came later"), target, harness.clock.now(), timeout,
+                                     yield);
         });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, quarantine.suspects());
         CPPUNIT_ASSERT(quarantine.own().count(RequestFingerprint("came later")) == 0);
     }
 
-    // One that is full resets new connections, also that of the question.
-    void serverThatCannotBeAskedHasEndedIfItGoes()
+    // A full server also resets new connections, that of the probe included. A server that can't be
+    // probed counts as crashed only if it leaves the fleet soon after.
+    void serverThatCannotBeProbedHasCrashedIfItLeavesSoon()
     {
         DispatchHarness harness;
         harness.probe.canProbe = false;
         IoContext io(1);
         Quarantine quarantine { QuarantineOptions() };
-        CrashWatch watch(io, harness.clock, {}, harness.probe, quarantine, harness.log,
-                         harness.metrics);
-        const auto cutAt = [&](const char *host, Yield yield) {
+        CrashWatch detector(io, harness.clock, {}, harness.probe, quarantine, harness.log,
+                            harness.metrics);
+        const auto endConnectionTo = [&](const char *host, Yield yield) {
             Target target;
             target.host = HostId(host);
-            watch.connectionEnded(request(host), target, harness.clock.now(),
-                                  std::chrono::milliseconds(100), yield);
+            detector.connectionEnded(request(host), target, harness.clock.now(),
+                                     std::chrono::milliseconds(100), yield);
         };
         runCoroutine(io, [&](Yield yield) {
             for (const char *host : { "goes", "stays", "goes late" })
-                cutAt(host, yield);
+                endConnectionTo(host, yield);
         });
         CPPUNIT_ASSERT(quarantine.empty());
-        watch.serversChanged([](const HostId &host) { return host != HostId("goes"); });
+        detector.serversChanged([](const HostId &host) { return host != HostId("goes"); });
         CPPUNIT_ASSERT(quarantine.own().count(RequestFingerprint("goes")) == 1);
         harness.clock.advance(std::chrono::seconds(8));
-        watch.serversChanged([](const HostId &) { return true; });
-        watch.serversChanged([](const HostId &) { return false; });
+        detector.serversChanged([](const HostId &) { return true; });
+        detector.serversChanged([](const HostId &) { return false; });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, quarantine.suspects());
     }
 
-    void answerElsewhereClearsIt()
+    void completeAnswerElsewhereReleasesTheRequest()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
@@ -163,25 +161,25 @@
         CPPUNIT_ASSERT(harness.state.quarantine.empty());
     }
 
-    void wordFromAnotherDaemonStopsARepeat()
+    void crashReportOfAnotherDaemonStopsARetry()
     {
         DispatchHarness harness;
         ScriptedAnswer first = truncatedAnswer({});
-        first.before = [&] { hear(harness, "/safe/1", { "elsewhere" }); };
+        first.before = [&] { applyCrashReport(harness, "/safe/1", { "elsewhere" }); };
         harness.client.expect(firstServer, first);
         harness.client.expect(secondServer, answer(200, { "x" }));
         const auto caller = harness.serve("/safe/1");
-        CPPUNIT_ASSERT_EQUAL(502, caller->response.status); // It may have run.
+        CPPUNIT_ASSERT_EQUAL(502, caller->response.status); // The request may have run.
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
     }
 
-    // It waits at a server that is full, say: one that it need not end.
-    void wordFromAnotherDaemonWithdrawsWhatHasNotBegun()
+    // The request waits at a full server, for example, and can be cancelled before it runs there.
+    void crashReportOfAnotherDaemonCancelsAWaitingRequest()
     {
         DispatchHarness harness;
         ScriptedAnswer waits = answer(200, { event(1) });
         waits.startsWhen = [] { return false; };
-        waits.before = [&] { hold(harness, "/chat/1"); };
+        waits.before = [&] { quarantineRequest(harness, "/chat/1"); };
         harness.client.expect(firstServer, waits);
         const auto caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/1", {}, "body" });
@@ -191,10 +189,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
     }
 
-    void trialSendsItToOneServer()
+    void trialGoesToOneServer()
     {
         DispatchHarness harness;
-        hold(harness, "/safe/1");
+        quarantineRequest(harness, "/safe/1");
         harness.trials.remaining = 1;
         harness.client.expect(firstServer, truncatedAnswer({}));
         harness.client.expect(secondServer, answer(200, { "x" }));
@@ -212,8 +210,8 @@
         return { RequestFingerprint(fingerprint), {}, "route" };
     }
 
-    static void hear(DispatchHarness &harness, const std::string &path,
-                     const std::set<std::string> &servers)
+    static void applyCrashReport(DispatchHarness &harness, const std::string &path,
+                                 const std::set<std::string> &servers)
     {
         CrashRecord record;
         for (const std::string &server : servers)
@@ -223,36 +221,36 @@
                                       { { fingerprint, record } }, harness.clock.now());
     }
 
-    // Another daemon has told enough to hold the request back.
-    static void hold(DispatchHarness &harness, const std::string &path)
+    // Applies a report of another daemon with enough crashes to quarantine the request.
+    static void quarantineRequest(DispatchHarness &harness, const std::string &path)
     {
-        hear(harness, path, { "x", "y" });
+        applyCrashReport(harness, path, { "x", "y" });
     }
 
-    // How many of 8 servers end under a request whose caller comes again and again. A server that
-    // has ended is found by nobody.
-    static int endedUnder(const std::string &path, const ScriptedAnswer &end)
+    // Returns how many of the servers crash when a caller keeps retrying one request. Nothing
+    // answers at the address of a crashed server.
+    static int crashesUnder(const std::string &path, const ScriptedAnswer &crash)
     {
         DispatchHarness harness;
-        for (int number = 3; number <= servers; ++number) {
+        for (int number = 3; number <= serverCount; ++number) {
             const std::string name = std::to_string(number);
             harness.fleet.put(server("a" + name, app, serverAt(number)));
             harness.addReplica("c" + name, serverAt(number), number);
         }
         harness.rebuild();
-        int ended = 0;
-        ScriptedAnswer counted = end;
-        counted.before = [&ended] { ++ended; };
+        int crashed = 0;
+        ScriptedAnswer counted = crash;
+        counted.before = [&crashed] { ++crashed; };
         harness.client.expect(firstServer, counted);
         harness.client.expect(secondServer, counted);
-        for (int number = 3; number <= servers; ++number)
+        for (int number = 3; number <= serverCount; ++number)
             harness.client.expect(serverAt(number), counted);
-        constexpr int visits = 3 * servers;
-        for (int visit = 0; visit < visits; ++visit) {
+        constexpr int requestCount = 3 * serverCount;
+        for (int attempt = 0; attempt < requestCount; ++attempt) {
             harness.serve(path);
             harness.clock.advance(std::chrono::seconds(1));
         }
-        return ended;
+        return crashed;
     }
 };
 
