--- a/ramphinge/dispatch/placing_test.cpp
+++ b/ramphinge/dispatch/placing_test.cpp
@@ -1,5 +1,6 @@
-// Tests of choosing places by their room: plays the load of two zones with fifty daemons each, in
-// which one zone loses more than half of its replicas, and checks what the callers get.
+// Tests of the weighted random choice of a target by its free slots. A simulation of two zones with
+// fifty daemons each, in which one zone loses more than half of its replicas, checks how many
+// requests are answered in time.
 
 #include <algorithm>
 #include <deque>
@@ -15,17 +16,17 @@
 const ServiceId chat("chat");
 const ModelId model("m");
 const Tokens prompt(1000);
-constexpr int daemonsOfAZone = 50;
-constexpr int placesOfAZone = 20;
+constexpr int daemonsPerZone = 50;
+constexpr int replicasPerZone = 20;
 constexpr int slots = 14;
 constexpr Duration tick = std::chrono::milliseconds(10);
 constexpr Duration streamTime = std::chrono::milliseconds(1500);
 constexpr Duration firstEventTime = std::chrono::milliseconds(180);
-constexpr Duration objective = std::chrono::milliseconds(400);
+constexpr Duration firstEventObjective = std::chrono::milliseconds(400);
 constexpr Duration reportInterval = std::chrono::milliseconds(250);
-constexpr Duration losesAt = std::chrono::seconds(20);
-constexpr int placesLost = 12; // Of the first zone.
-constexpr std::size_t queueLimit = 28; // Beyond it a place turns requests away.
+constexpr Duration lossTime = std::chrono::seconds(20);
+constexpr int replicasLost = 12; // In the first zone.
+constexpr std::size_t queueLimit = 28; // Waiting requests; a replica refuses any beyond it.
 
 const ZoneId zones[] = { ZoneId("y"), ZoneId("z") };
 
@@ -38,7 +39,7 @@
     bool begun = false;
 };
 
-struct Place
+struct SimulatedReplica
 {
     HostId host;
     std::deque<Stream> waiting;
@@ -46,21 +47,21 @@
     int arrivals = 0;
 };
 
-// What callers got, and how the places were used.
+// What callers received, and how evenly the replicas were used.
 struct Outcome
 {
     int sent = 0;
     int inTime = 0;
-    int turnedAway = 0;
-    double busiestOverMean = 0;
+    int refused = 0;
+    double busiestToMeanRatio = 0;
 
     double inTimeShare() const { return static_cast<double>(inTime) / std::max(1, sent); }
 };
 
-class TwoZones
+class TwoZoneSimulation
 {
 public:
-    explicit TwoZones(bool shareLoads) : m_shareLoads(shareLoads), m_random(11)
+    explicit TwoZoneSimulation(bool shareLoads) : m_shareLoads(shareLoads), m_random(11)
     {
         CatalogContent content;
         EngineProfile engine;
@@ -71,32 +72,34 @@
         engine.models.push_back({ model, 1, 1, 1, {}, {} });
         content.services = { { chat, "", 0, engine } };
         m_catalog = std::make_unique<ServiceCatalog>(std::move(content));
-        for (int i = 0; i < 2 * placesOfAZone; ++i)
-            addPlace(i);
-        for (int i = 0; i < 2 * daemonsOfAZone; ++i) {
+        for (int i = 0; i < 2 * replicasPerZone; ++i)
+            addReplica(i);
+        for (int i = 0; i < 2 * daemonsPerZone; ++i) {
             TargetTableOptions options;
-            options.ownZone = zones[i / daemonsOfAZone];
+            options.ownZone = zones[i / daemonsPerZone];
             m_tables.emplace_back(options, i + 1);
-            m_tables.back().setSharers(daemonsOfAZone);
+            m_tables.back().setSharers(daemonsPerZone);
         }
         rebuild();
     }
 
-    // `load`: requests under way for each slot that is left after the loss.
-    Outcome play(double load, Duration length)
+    // `load`: requests in flight for each slot that remains after the loss.
+    Outcome simulate(double load, Duration length)
     {
-        const int left = 2 * placesOfAZone - placesLost;
-        const double perSecond = load * left * slots / (toMilliseconds(streamTime) / 1000);
-        const double perTick = perSecond * toMilliseconds(tick) / 1000;
+        const int remaining = 2 * replicasPerZone - replicasLost;
+        const double requestsPerSecond =
+            load * remaining * slots / (toMilliseconds(streamTime) / 1000);
+        const double requestsPerTick = requestsPerSecond * toMilliseconds(tick) / 1000;
         for (Duration at {}; at < length; at += tick) {
             m_now += tick;
-            if (at == losesAt)
-                losePlaces();
-            for (double due = perTick; due > 0; --due) {
-                if (m_random.fraction() < due)
-                    arrive();
+            if (at == lossTime)
+                removeReplicas();
+            for (double expectedRequests = requestsPerTick; expectedRequests > 0;
+                 --expectedRequests) {
+                if (m_random.fraction() < expectedRequests)
+                    sendRequest();
             }
-            progress();
+            advanceReplicas();
             if (m_shareLoads && at % reportInterval == Duration::zero())
                 shareLoads();
         }
@@ -108,7 +111,7 @@
     MonotonicTime now() const { return m_now; }
 
 private:
-    void addPlace(int number)
+    void addReplica(int number)
     {
         const std::string name = "p" + std::to_string(number);
         PlannedReplica replica;
@@ -121,11 +124,11 @@
         UpstreamServer server;
         server.host = HostId(name);
         server.service = chat;
-        server.zone = zones[number / placesOfAZone];
+        server.zone = zones[number / replicasPerZone];
         server.membership =
             ReplicaMembership { replica.replica, Epoch(1), 0, MembershipState::Open };
         m_fleet.put(server);
-        m_places[server.host].host = server.host;
+        m_replicas[server.host].host = server.host;
     }
 
     void rebuild()
@@ -134,14 +137,14 @@
             table.rebuild(m_fleet, m_plan, *m_catalog);
     }
 
-    // What runs there ends well; nothing new is sent there.
-    void losePlaces()
+    // Removes replicas from the plan. Their running streams complete; no new requests go there.
+    void removeReplicas()
     {
-        m_plan.replicas.erase(m_plan.replicas.begin(), m_plan.replicas.begin() + placesLost);
+        m_plan.replicas.erase(m_plan.replicas.begin(), m_plan.replicas.begin() + replicasLost);
         rebuild();
     }
 
-    void arrive()
+    void sendRequest()
     {
         Stream stream;
         stream.daemon = m_random.below(m_tables.size());
@@ -150,97 +153,98 @@
         const Target *target = table.choose({ chat, model, prompt, {} }, m_now);
         stream.expected = table.expectedTime(target->host, prompt, m_now);
         ++m_outcome.sent;
-        Place &place = m_places[target->host];
-        ++place.arrivals;
-        if (place.waiting.size() >= queueLimit) {
-            ++m_outcome.turnedAway;
+        SimulatedReplica &simulated = m_replicas[target->host];
+        ++simulated.arrivals;
+        if (simulated.waiting.size() >= queueLimit) {
+            ++m_outcome.refused;
             table.failed(target->host, m_now);
             return;
         }
         table.sent(target->host, prompt);
-        place.waiting.push_back(stream);
+        simulated.waiting.push_back(stream);
     }
 
-    void progress()
+    void advanceReplicas()
     {
-        for (auto &[host, place] : m_places) {
-            endStreams(place);
-            while (place.running.size() < slots && !place.waiting.empty()) {
-                place.running.push_back(place.waiting.front());
-                place.running.back().startedAt = m_now;
-                place.waiting.pop_front();
+        for (auto &[host, simulated] : m_replicas) {
+            endStreams(simulated);
+            while (simulated.running.size() < slots && !simulated.waiting.empty()) {
+                simulated.running.push_back(simulated.waiting.front());
+                simulated.running.back().startedAt = m_now;
+                simulated.waiting.pop_front();
             }
-            for (Stream &stream : place.running) {
+            for (Stream &stream : simulated.running) {
                 if (!stream.begun && m_now - stream.startedAt >= firstEventTime)
-                    begin(place, stream);
+                    beginStream(simulated, stream);
             }
         }
     }
 
-    void begin(Place &place, Stream &stream)
+    void beginStream(SimulatedReplica &simulated, Stream &stream)
     {
         stream.begun = true;
         const Duration took = m_now - stream.sentAt;
         TargetTable &table = m_tables[stream.daemon];
-        table.progressed(place.host, m_now);
-        table.began(place.host, prompt, took, stream.expected, m_now);
-        m_outcome.inTime += took <= objective ? 1 : 0;
+        table.progressed(simulated.host, m_now);
+        table.began(simulated.host, prompt, took, stream.expected, m_now);
+        m_outcome.inTime += took <= firstEventObjective ? 1 : 0;
     }
 
-    void endStreams(Place &place)
+    void endStreams(SimulatedReplica &simulated)
     {
         const auto isOver = [&](const Stream &stream) {
-            m_tables[stream.daemon].progressed(place.host, m_now);
+            m_tables[stream.daemon].progressed(simulated.host, m_now);
             if (m_now - stream.startedAt < streamTime)
                 return false;
-            m_tables[stream.daemon].ended(place.host, prompt, true);
+            m_tables[stream.daemon].ended(simulated.host, prompt, true);
             return true;
         };
-        place.running.erase(std::remove_if(place.running.begin(), place.running.end(), isOver),
-                            place.running.end());
+        simulated.running.erase(
+            std::remove_if(simulated.running.begin(), simulated.running.end(), isOver),
+            simulated.running.end());
     }
 
-    // Each daemon hears what the others had under way a report ago.
+    // Gives each daemon the load that the others had in flight one report interval ago.
     void shareLoads()
     {
-        std::vector<PlaceLoads> own;
-        std::map<HostId, PlaceLoad> sum;
+        std::vector<PlaceLoads> ownLoads;
+        std::map<HostId, PlaceLoad> totalLoad;
         for (const TargetTable &table : m_tables) {
-            own.push_back(table.ownLoad());
-            for (const PlaceLoad &load : own.back()) {
-                PlaceLoad &place = sum[load.host];
-                place.host = load.host;
-                place.running += load.running;
-                place.waitingPrompt += load.waitingPrompt;
+            ownLoads.push_back(table.ownLoad());
+            for (const PlaceLoad &load : ownLoads.back()) {
+                PlaceLoad &hostTotal = totalLoad[load.host];
+                hostTotal.host = load.host;
+                hostTotal.running += load.running;
+                hostTotal.waitingPrompt += load.waitingPrompt;
             }
         }
         for (std::size_t i = 0; i < m_tables.size(); ++i) {
-            std::map<HostId, PlaceLoad> rest = m_lastSum;
-            if (!m_lastOwn.empty()) {
-                for (const PlaceLoad &load : m_lastOwn[i]) {
-                    rest[load.host].running -= load.running;
-                    rest[load.host].waitingPrompt -= load.waitingPrompt;
+            std::map<HostId, PlaceLoad> othersLoad = m_previousTotalLoad;
+            if (!m_previousOwnLoads.empty()) {
+                for (const PlaceLoad &load : m_previousOwnLoads[i]) {
+                    othersLoad[load.host].running -= load.running;
+                    othersLoad[load.host].waitingPrompt -= load.waitingPrompt;
                 }
             }
             PlaceLoads others;
-            for (const auto &[host, load] : rest)
+            for (const auto &[host, load] : othersLoad)
                 others.push_back(load);
             m_tables[i].setOthersLoad(others, m_now);
         }
-        m_lastSum = sum;
-        m_lastOwn = own;
+        m_previousTotalLoad = totalLoad;
+        m_previousOwnLoads = ownLoads;
     }
 
     void summarize()
     {
-        int most = 0;
+        int maxArrivals = 0;
         int total = 0;
-        for (const auto &[host, place] : m_places) {
-            most = std::max(most, place.arrivals);
-            total += place.arrivals;
+        for (const auto &[host, simulated] : m_replicas) {
+            maxArrivals = std::max(maxArrivals, simulated.arrivals);
+            total += simulated.arrivals;
         }
-        m_outcome.busiestOverMean =
-            most * static_cast<double>(m_places.size()) / std::max(1, total);
+        m_outcome.busiestToMeanRatio =
+            maxArrivals * static_cast<double>(m_replicas.size()) / std::max(1, total);
     }
 
     bool m_shareLoads;
@@ -249,18 +253,18 @@
     FleetView m_fleet;
     ReplicaPlan m_plan;
     std::vector<TargetTable> m_tables;
-    std::map<HostId, Place> m_places;
-    std::map<HostId, PlaceLoad> m_lastSum;
-    std::vector<PlaceLoads> m_lastOwn;
+    std::map<HostId, SimulatedReplica> m_replicas;
+    std::map<HostId, PlaceLoad> m_previousTotalLoad;
+    std::vector<PlaceLoads> m_previousOwnLoads;
     MonotonicTime m_now { std::chrono::seconds(100) };
     Outcome m_outcome;
 };
 
-void print(const char *what, const Outcome &outcome)
+void print(const char *label, const Outcome &outcome)
 {
     std::cout << '\n'
-              << what << ": in time " << outcome.inTimeShare() << ", turned away "
-              << outcome.turnedAway << ", busiest/mean " << outcome.busiestOverMean << ' ';
+              << label << ": in time " << outcome.inTimeShare() << ", refused " << outcome.refused
+              << ", busiest/mean " << outcome.busiestToMeanRatio << ' ';
 }
 
 } // namespace
@@ -268,41 +272,41 @@
 class PlacingTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlacingTest);
-    CPPUNIT_TEST(placesAreDrawnByTheirRoom);
-    CPPUNIT_TEST(otherZonesAreUsedAsTheOwnFillsUp);
-    CPPUNIT_TEST(fullPlacesAreNotDrawn);
-    CPPUNIT_TEST(callersAreServedInTimeThoughAZoneLosesReplicas);
-    CPPUNIT_TEST(oldLoadsDoNotCount);
-    CPPUNIT_TEST(lateRequestsThatWaitAreNoLoad);
+    CPPUNIT_TEST(targetsAreDrawnByTheirFreeSlots);
+    CPPUNIT_TEST(otherZonesAreUsedAsTheOwnZoneFillsUp);
+    CPPUNIT_TEST(fullTargetsAreNotDrawn);
+    CPPUNIT_TEST(sharedLoadsKeepAnswersInTimeWhenAZoneLosesReplicas);
+    CPPUNIT_TEST(expiredLoadsAreIgnored);
+    CPPUNIT_TEST(waitingLateRequestsAreNoLoad);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void placesAreDrawnByTheirRoom()
+    void targetsAreDrawnByTheirFreeSlots()
     {
         Random random(3);
-        const std::vector<PlaceRoom> places { { 10, 9, true }, { 10, 1, true }, { 10, 12, true } };
+        const std::vector<PlaceRoom> targets { { 10, 9, true }, { 10, 1, true }, { 10, 12, true } };
         std::vector<int> drawn(3);
         for (int i = 0; i < 1000; ++i)
-            ++drawn[*drawPlace(places, {}, random)];
+            ++drawn[*drawPlace(targets, {}, random)];
         CPPUNIT_ASSERT(drawn[1] > 850 && drawn[0] > 50 && drawn[2] < 20);
     }
 
-    void otherZonesAreUsedAsTheOwnFillsUp()
+    void otherZonesAreUsedAsTheOwnZoneFillsUp()
     {
         Random random(3);
-        const auto farShare = [&random](double running) {
-            const std::vector<PlaceRoom> places { { 10, running, true }, { 10, 5, false } };
-            int far = 0;
+        const auto otherZoneShare = [&random](double running) {
+            const std::vector<PlaceRoom> targets { { 10, running, true }, { 10, 5, false } };
+            int otherZoneCount = 0;
             for (int i = 0; i < 1000; ++i)
-                far += drawPlace(places, {}, random) == std::size_t(1) ? 1 : 0;
-            return far / 1000.0;
+                otherZoneCount += drawPlace(targets, {}, random) == std::size_t(1) ? 1 : 0;
+            return otherZoneCount / 1000.0;
         };
-        CPPUNIT_ASSERT_EQUAL(0.0, farShare(4));
-        CPPUNIT_ASSERT(farShare(8) > 0.4 && farShare(8) < 0.7);
-        CPPUNIT_ASSERT(farShare(10) > 0.95);
+        CPPUNIT_ASSERT_EQUAL(0.0, otherZoneShare(4));
+        CPPUNIT_ASSERT(otherZoneShare(8) > 0.4 && otherZoneShare(8) < 0.7);
+        CPPUNIT_ASSERT(otherZoneShare(10) > 0.95);
     }
 
-    void fullPlacesAreNotDrawn()
+    void fullTargetsAreNotDrawn()
     {
         Random random(3);
         CPPUNIT_ASSERT(!drawPlace({}, {}, random));
@@ -310,27 +314,29 @@
         CPPUNIT_ASSERT(drawPlace({ { 10, 10, true }, { 10, 9, false } }, {}, random));
     }
 
-    void callersAreServedInTimeThoughAZoneLosesReplicas()
+    void sharedLoadsKeepAnswersInTimeWhenAZoneLosesReplicas()
     {
-        // Of the places that are left: half full, as on a calm day, to nearly full. Measured: in
-        // time 0.951 and 0.987, 0.853 and 0.953, 0.681 and 0.791.
+        // From moderate load on the remaining replicas to nearly full ones. Shares in time, without
+        // and with shared loads: 0.951 and 0.987, 0.853 and 0.953, 0.681 and 0.791.
         const std::vector<std::pair<double, double>> gains { { 0.6, 0.03 },
                                                              { 0.75, 0.08 },
                                                              { 0.9, 0.08 } };
         for (const auto &[load, gain] : gains) {
-            const Outcome alone = TwoZones(false).play(load, std::chrono::seconds(40));
-            const Outcome together = TwoZones(true).play(load, std::chrono::seconds(40));
+            const Outcome alone = TwoZoneSimulation(false).simulate(load, std::chrono::seconds(40));
+            const Outcome together =
+                TwoZoneSimulation(true).simulate(load, std::chrono::seconds(40));
             print("by own requests", alone);
             print("by the load of all", together);
             CPPUNIT_ASSERT(together.inTimeShare() > alone.inTimeShare() + gain);
-            CPPUNIT_ASSERT(together.turnedAway <= alone.turnedAway);
+            CPPUNIT_ASSERT(together.refused <= alone.refused);
         }
     }
 
-    // Else each of them would make others late, until all were.
-    void lateRequestsThatWaitAreNoLoad()
+    // If late requests that wait counted as load, each would make further requests late, until all
+    // were.
+    void waitingLateRequestsAreNoLoad()
     {
-        TwoZones zones(false);
+        TwoZoneSimulation zones(false);
         TargetTable &table = zones.tableOf(0);
         const HostId near("p0");
         table.sent(near, prompt, Urgency::Late);
@@ -342,10 +348,10 @@
         CPPUNIT_ASSERT_EQUAL(2, table.ownLoad().at(0).running);
     }
 
-    // When the relays fall silent, a daemon goes by its own requests again.
-    void oldLoadsDoNotCount()
+    // When the relays stop reporting, a daemon falls back to the load of its own requests.
+    void expiredLoadsAreIgnored()
     {
-        TwoZones zones(false);
+        TwoZoneSimulation zones(false);
         TargetTable &table = zones.tableOf(0);
         const HostId near("p0");
         const MonotonicTime now = zones.now();
