--- a/ramphinge/dispatch/server_backoff_test.cpp
+++ b/ramphinge/dispatch/server_backoff_test.cpp
@@ -1,5 +1,5 @@
-// Servers that turn requests away and ask the daemon to back off, and servers that say in their
-// answers that they leave.
+// Tests of servers that refuse requests and ask the daemon to back off, and of servers that
+// announce in their answers that they are leaving.
 
 #include <algorithm>
 #include <map>
@@ -13,25 +13,25 @@
 
 namespace {
 
-// The promise: from `notice` after a refusal until the end of the time that it asks for, no more
-// than `underWay` requests reach the server.
-constexpr Duration notice = std::chrono::milliseconds(500);
-constexpr std::size_t underWay = 2;
-constexpr Duration asked = std::chrono::seconds(3);
-constexpr Duration pause = std::chrono::milliseconds(20); // Between two requests.
+// The guarantee: from `reactionTime` after a refusal until the end of the backoff that it asks for,
+// at most `maxArrivals` requests reach the server.
+constexpr Duration reactionTime = std::chrono::milliseconds(500);
+constexpr std::size_t maxArrivals = 2;
+constexpr Duration requestedBackoff = std::chrono::seconds(3);
+constexpr Duration requestInterval = std::chrono::milliseconds(20);
 
-// One daemon with requests for a service of two servers, which behave as told.
-class PlayedService
+// One daemon that serves requests for a service of two scripted servers.
+class ServiceSimulation
 {
 public:
-    explicit PlayedService(std::string path) : m_path(std::move(path)) { }
+    explicit ServiceSimulation(std::string path) : m_path(std::move(path)) { }
 
-    // Serves requests for a while.
-    void play(Duration length, const ScriptedAnswer &first, const ScriptedAnswer &second)
+    // Serves one request per `requestInterval` for `length`; each server gives its scripted answer.
+    void simulate(Duration length, const ScriptedAnswer &first, const ScriptedAnswer &second)
     {
         const MonotonicTime end = harness.clock.now() + length;
         while (harness.clock.now() < end) {
-            harness.clock.advance(pause);
+            harness.clock.advance(requestInterval);
             expect(firstServer, first);
             expect(secondServer, second);
             served += harness.serve(m_path)->response.status == 200 ? 1 : 0;
@@ -52,18 +52,18 @@
     int served = 0;
 
 private:
-    void expect(const Endpoint &server, ScriptedAnswer answered)
+    void expect(const Endpoint &server, ScriptedAnswer scripted)
     {
         if (harness.client.expectsCall(server))
             return;
-        answered.before = [this, server] { arrivals[server].push_back(harness.clock.now()); };
-        harness.client.expect(server, std::move(answered));
+        scripted.before = [this, server] { arrivals[server].push_back(harness.clock.now()); };
+        harness.client.expect(server, std::move(scripted));
     }
 
     std::string m_path;
 };
 
-ScriptedAnswer asksForBackoff()
+ScriptedAnswer backoffRequest()
 {
     return answer(503, {}, { { "not-run", "1" }, { "backoff", "3" } });
 }
@@ -71,28 +71,28 @@
 class ServerBackoffTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServerBackoffTest);
-    CPPUNIT_TEST(serverThatAsksForBackoffGetsNothingUntilItsEnd);
-    CPPUNIT_TEST(headThatAsksForBackoffGetsNothingUntilItsEnd);
-    CPPUNIT_TEST(repeatDoesNotGoToAServerThatAskedForBackoff);
-    CPPUNIT_TEST(callerIsRefusedAtOnceUntilAServerMayBeAskedAgain);
-    CPPUNIT_TEST(callerThatWasTurnedAwayIsToldWhenToComeBack);
-    CPPUNIT_TEST(requestThatWaitedForAConnectionIsWithheld);
-    CPPUNIT_TEST(streamThatWaitedForAConnectionIsWithheld);
-    CPPUNIT_TEST(backoffOfAnotherServerAtTheAddressCountsForNothing);
-    CPPUNIT_TEST(serverThatSaysThatItLeavesGetsNothingMore);
-    CPPUNIT_TEST(headThatSaysThatItLeavesGetsNothingMore);
+    CPPUNIT_TEST(serverGetsNoRequestsDuringItsBackoff);
+    CPPUNIT_TEST(headGetsNoRequestsDuringItsBackoff);
+    CPPUNIT_TEST(retryDoesNotGoToAServerInBackoff);
+    CPPUNIT_TEST(callerIsRefusedAtOnceWhileAllServersAreInBackoff);
+    CPPUNIT_TEST(callerRefusedByAllServersGetsTheirBackoffAsRetryAfter);
+    CPPUNIT_TEST(requestIsNotSentIfBackoffStartsWhileConnecting);
+    CPPUNIT_TEST(streamIsNotSentIfBackoffStartsWhileConnecting);
+    CPPUNIT_TEST(backoffOfAnotherServerAtTheAddressIsIgnored);
+    CPPUNIT_TEST(leavingServerGetsNoFurtherRequests);
+    CPPUNIT_TEST(leavingHeadGetsNoFurtherRequests);
     CPPUNIT_TEST(callerIsRefusedAtOnceWhenAllServersLeave);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void serverThatAsksForBackoffGetsNothingUntilItsEnd() { expectBackoffKept("/safe/1"); }
+    void serverGetsNoRequestsDuringItsBackoff() { expectBackoffRespected("/safe/1"); }
 
-    void headThatAsksForBackoffGetsNothingUntilItsEnd() { expectBackoffKept("/chat/1"); }
+    void headGetsNoRequestsDuringItsBackoff() { expectBackoffRespected("/chat/1"); }
 
-    void repeatDoesNotGoToAServerThatAskedForBackoff()
+    void retryDoesNotGoToAServerInBackoff()
     {
         DispatchHarness harness;
-        harness.client.expect(firstServer, asksForBackoff());
+        harness.client.expect(firstServer, backoffRequest());
         harness.client.expect(secondServer, answer(200, { "x" }));
         harness.serve("/safe/1");
         harness.client.expect(firstServer, answer(200, { "x" }));
@@ -102,34 +102,37 @@
         CPPUNIT_ASSERT(harness.client.expectsCall(firstServer));
     }
 
-    void callerIsRefusedAtOnceUntilAServerMayBeAskedAgain()
+    void callerIsRefusedAtOnceWhileAllServersAreInBackoff()
     {
         DispatchHarness harness;
-        askForBackoff(harness, "a1", 3);
-        askForBackoff(harness, "a2", 2);
+        noteBackoff(harness, "a1", 3);
+        noteBackoff(harness, "a2", 2);
         harness.clock.advance(std::chrono::seconds(1));
         const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(503, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("servers_backing_off") != std::string::npos);
         CPPUNIT_ASSERT(harness.client.sent().empty());
-        expectReturnIn(*caller, 1, 1.3);
+        expectRetryAfter(*caller, 1, 1.3);
     }
 
-    void callerThatWasTurnedAwayIsToldWhenToComeBack()
+    void callerRefusedByAllServersGetsTheirBackoffAsRetryAfter()
     {
         DispatchHarness harness;
-        harness.client.expect(firstServer, asksForBackoff());
-        harness.client.expect(secondServer, asksForBackoff());
+        harness.client.expect(firstServer, backoffRequest());
+        harness.client.expect(secondServer, backoffRequest());
         const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(429, caller->response.status);
-        expectReturnIn(*caller, 3, 3.3);
+        expectRetryAfter(*caller, 3, 3.3);
     }
 
-    void requestThatWaitedForAConnectionIsWithheld() { expectWithheld("/safe/1", "a1", "x"); }
+    void requestIsNotSentIfBackoffStartsWhileConnecting() { expectNotSent("/safe/1", "a1", "x"); }
 
-    void streamThatWaitedForAConnectionIsWithheld() { expectWithheld("/chat/1", "c1", event(1)); }
+    void streamIsNotSentIfBackoffStartsWhileConnecting()
+    {
+        expectNotSent("/chat/1", "c1", event(1));
+    }
 
-    void backoffOfAnotherServerAtTheAddressCountsForNothing()
+    void backoffOfAnotherServerAtTheAddressIsIgnored()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer,
@@ -139,9 +142,9 @@
         CPPUNIT_ASSERT(harness.state.gate.backoffs().states(harness.clock.now()).empty());
     }
 
-    void serverThatSaysThatItLeavesGetsNothingMore() { expectLeavingKept("/safe/1"); }
+    void leavingServerGetsNoFurtherRequests() { expectNoRequestAfterLeaving("/safe/1"); }
 
-    void headThatSaysThatItLeavesGetsNothingMore() { expectLeavingKept("/chat/1"); }
+    void leavingHeadGetsNoFurtherRequests() { expectNoRequestAfterLeaving("/chat/1"); }
 
     void callerIsRefusedAtOnceWhenAllServersLeave()
     {
@@ -155,7 +158,7 @@
     }
 
 private:
-    static void askForBackoff(DispatchHarness &harness, const char *host, double seconds)
+    static void noteBackoff(DispatchHarness &harness, const char *host, double seconds)
     {
         ServerStatement refusal;
         refusal.backoff = scaled(std::chrono::seconds(1), seconds);
@@ -163,19 +166,20 @@
                                       harness.clock.now());
     }
 
-    static void expectReturnIn(const RecordedExchange &caller, double earliest, double latest)
+    static void expectRetryAfter(const RecordedExchange &caller, double earliest, double latest)
     {
         const std::string after(caller.response.headers.find("Retry-After").value());
         CPPUNIT_ASSERT(std::stod(after) >= earliest && std::stod(after) <= latest);
     }
 
-    // The server asks for backoff while the request's connection is being made.
-    static void expectWithheld(const std::string &path, const char *host, const std::string &body)
+    // The server asks for backoff while the connection for the request is being established: the
+    // request must not be written to it.
+    static void expectNotSent(const std::string &path, const char *host, const std::string &body)
     {
         DispatchHarness harness;
         ScriptedAnswer first = answer(200, { body });
         first.connectsWhen = [&] {
-            askForBackoff(harness, host, 3);
+            noteBackoff(harness, host, 3);
             return true;
         };
         bool written = false;
@@ -187,26 +191,26 @@
         CPPUNIT_ASSERT(harness.client.sent().size() == 2);
     }
 
-    static void expectBackoffKept(const std::string &path)
+    static void expectBackoffRespected(const std::string &path)
     {
-        PlayedService service(path);
-        service.play(std::chrono::seconds(12), asksForBackoff(), asksForBackoff());
+        ServiceSimulation service(path);
+        service.simulate(std::chrono::seconds(12), backoffRequest(), backoffRequest());
         for (const Endpoint &server : { firstServer, secondServer }) {
-            CPPUNIT_ASSERT(service.arrivals[server].size() >= 2); // Asked again after the end.
+            CPPUNIT_ASSERT(service.arrivals[server].size() >= 2); // Again after its backoff.
             for (const MonotonicTime refusedAt : service.arrivals[server])
-                CPPUNIT_ASSERT(
-                    service.arrivalsBetween(server, refusedAt + notice, refusedAt + asked)
-                    <= underWay);
+                CPPUNIT_ASSERT(service.arrivalsBetween(server, refusedAt + reactionTime,
+                                                       refusedAt + requestedBackoff)
+                               <= maxArrivals);
         }
     }
 
-    static void expectLeavingKept(const std::string &path)
+    static void expectNoRequestAfterLeaving(const std::string &path)
     {
-        PlayedService service(path);
+        ServiceSimulation service(path);
         HttpHeaders leaving = authenticHeaders();
         leaving.add("leaving", "1");
-        service.play(std::chrono::seconds(12), answer(200, { service.body() }, leaving),
-                     answer(200, { service.body() }));
+        service.simulate(std::chrono::seconds(12), answer(200, { service.body() }, leaving),
+                         answer(200, { service.body() }));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, service.arrivals[firstServer].size());
         CPPUNIT_ASSERT_EQUAL(600, service.served);
     }
