--- a/ramphinge/dispatch/server_limit_test.cpp
+++ b/ramphinge/dispatch/server_limit_test.cpp
@@ -1,4 +1,4 @@
-// Servers that state the rate that they accept from all daemons together.
+// Tests of servers that state the request rate that they accept from all daemons together.
 
 #include <algorithm>
 #include <memory>
@@ -12,106 +12,107 @@
 
 namespace {
 
-// The promise: in any window a limited server gets no more than `overshoot` x what its rate allows
-// and `slack`, from daemons that have heard of the limit for `notice`.
+// The guarantee: in any window, daemons that have known the limit for `reactionTime` send a limited
+// server at most `overshootFactor` times what its rate allows plus `slackRequests`.
 constexpr Duration window = std::chrono::seconds(4);
-constexpr Duration notice = std::chrono::milliseconds(500);
-constexpr double overshoot = 1.5;
-constexpr double slack = 5;
+constexpr Duration reactionTime = std::chrono::milliseconds(500);
+constexpr double overshootFactor = 1.5;
+constexpr double slackRequests = 5;
 
-constexpr Duration playedTime = std::chrono::seconds(15);
+constexpr Duration simulatedTime = std::chrono::seconds(15);
 constexpr double requestsPerSecond = 40;
 
-// Some daemons with requests for one service, of which the preferred server is limited.
-class LimitedServer
+// Simulates daemons that serve requests for one service whose preferred server is limited.
+class LimitedServerSimulation
 {
 public:
-    LimitedServer(int daemons, RequestRate rate, std::string path)
-        : m_rate(rate), m_path(std::move(path)), m_toldAt(daemons)
+    LimitedServerSimulation(int daemons, RequestRate rate, std::string path)
+        : m_rate(rate), m_path(std::move(path)), m_limitKnownSince(daemons)
     {
         for (int number = 0; number < daemons; ++number)
             m_daemons.push_back(std::make_unique<DispatchHarness>());
-        std::vector<LimitSharer> sharers;
+        std::vector<LimitSharer> registeredDaemons;
         for (int number = 0; number < daemons; ++number)
-            sharers.push_back({ DaemonId("d" + std::to_string(number)), ZoneId("z") });
+            registeredDaemons.push_back({ DaemonId("d" + std::to_string(number)), ZoneId("z") });
         for (int number = 0; number < daemons; ++number) {
             DispatchHarness &harness = *m_daemons[number];
-            harness.state.gate.setDaemons(sharers[number], sharers, harness.clock.now());
+            harness.state.gate.setDaemons(registeredDaemons[number], registeredDaemons,
+                                          harness.clock.now());
         }
     }
 
-    void play()
+    void simulate()
     {
         Random random(7);
-        for (Duration at {}; at < playedTime;) {
-            const Duration pause = random.exponential(std::chrono::duration_cast<Duration>(
+        for (Duration at {}; at < simulatedTime;) {
+            const Duration interval = random.exponential(std::chrono::duration_cast<Duration>(
                 std::chrono::duration<double>(1 / requestsPerSecond)));
-            at += pause;
+            at += interval;
             for (const auto &daemon : m_daemons)
-                daemon->clock.advance(pause);
-            serveAt(random.below(m_daemons.size()));
+                daemon->clock.advance(interval);
+            serveOnDaemon(random.below(m_daemons.size()));
         }
     }
 
-    // The most that arrived in a window, of what counts.
-    int mostInWindow() const
+    // The largest number of counted arrivals in any window.
+    int maxArrivalsInWindow() const
     {
-        std::size_t most = 0;
+        std::size_t maxArrivals = 0;
         for (std::size_t first = 0, last = 0; last < m_arrivals.size(); ++last) {
             while (m_arrivals[last] - m_arrivals[first] > window)
                 ++first;
-            most = std::max(most, last - first + 1);
+            maxArrivals = std::max(maxArrivals, last - first + 1);
         }
-        return static_cast<int>(most);
+        return static_cast<int>(maxArrivals);
     }
 
-    double allowed() const
+    double allowedInWindow() const
     {
-        return overshoot * m_rate.perSecond() * toMilliseconds(window) / 1000 + slack;
+        return overshootFactor * m_rate.perSecond() * toMilliseconds(window) / 1000 + slackRequests;
     }
 
     int arrivals() const { return static_cast<int>(m_arrivals.size()); }
     int served() const { return m_served; }
-    int asked() const { return m_asked; }
+    int requested() const { return m_requested; }
 
 private:
     bool isStream() const { return m_path.rfind("/chat/", 0) == 0; }
 
-    ScriptedAnswer answerOf() const
+    ScriptedAnswer successAnswer() const
     {
         return answer(200, { isStream() ? event(1) : "x" }, authenticHeaders());
     }
 
-    void serveAt(std::size_t number)
+    void serveOnDaemon(std::size_t number)
     {
         DispatchHarness &harness = *m_daemons[number];
-        ScriptedAnswer limited = answerOf();
+        ScriptedAnswer limited = successAnswer();
         limited.headers.add("limit", std::to_string(m_rate.perSecond()));
-        limited.before = [this, number] { noteArrival(number); };
+        limited.before = [this, number] { recordArrival(number); };
         if (!harness.client.expectsCall(firstServer))
             harness.client.expect(firstServer, limited);
         if (!harness.client.expectsCall(secondServer))
-            harness.client.expect(secondServer, answerOf());
-        ++m_asked;
+            harness.client.expect(secondServer, successAnswer());
+        ++m_requested;
         m_served += harness.serve(m_path)->response.status == 200 ? 1 : 0;
     }
 
-    void noteArrival(std::size_t number)
+    void recordArrival(std::size_t number)
     {
         const MonotonicTime now = m_daemons[number]->clock.now();
-        std::optional<MonotonicTime> &toldAt = m_toldAt[number];
-        if (toldAt && now - *toldAt >= notice)
+        std::optional<MonotonicTime> &limitKnownSince = m_limitKnownSince[number];
+        if (limitKnownSince && now - *limitKnownSince >= reactionTime)
             m_arrivals.push_back(now);
-        if (!toldAt)
-            toldAt = now;
+        if (!limitKnownSince)
+            limitKnownSince = now;
     }
 
     RequestRate m_rate;
     std::string m_path;
     std::vector<std::unique_ptr<DispatchHarness>> m_daemons;
-    std::vector<std::optional<MonotonicTime>> m_toldAt; // By daemon.
-    std::vector<MonotonicTime> m_arrivals; // From daemons that have been told for `notice`.
-    int m_asked = 0;
+    std::vector<std::optional<MonotonicTime>> m_limitKnownSince; // First arrival, by daemon.
+    std::vector<MonotonicTime> m_arrivals; // From daemons that know the limit for `reactionTime`.
+    int m_requested = 0;
     int m_served = 0;
 };
 
@@ -121,20 +122,20 @@
     CPPUNIT_TEST(limitedServiceGetsItsRateFromAllDaemonsTogether);
     CPPUNIT_TEST(limitedHeadGetsItsRateFromAllDaemonsTogether);
     CPPUNIT_TEST(callerIsRefusedAtOnceWhenNoServerAcceptsMore);
-    CPPUNIT_TEST(returnsOfRefusedCallersAreSpread);
-    CPPUNIT_TEST(repeatDoesNotGoToALimitedServer);
-    CPPUNIT_TEST(limitOfAnotherServerAtTheAddressCountsForNothing);
+    CPPUNIT_TEST(retriesOfRefusedCallersAreSpread);
+    CPPUNIT_TEST(retryDoesNotGoToALimitedServer);
+    CPPUNIT_TEST(limitOfAnotherServerAtTheAddressIsIgnored);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void limitedServiceGetsItsRateFromAllDaemonsTogether() { expectLimitKept("/safe/1"); }
+    void limitedServiceGetsItsRateFromAllDaemonsTogether() { expectLimitRespected("/safe/1"); }
 
-    void limitedHeadGetsItsRateFromAllDaemonsTogether() { expectLimitKept("/chat/1"); }
+    void limitedHeadGetsItsRateFromAllDaemonsTogether() { expectLimitRespected("/chat/1"); }
 
     void callerIsRefusedAtOnceWhenNoServerAcceptsMore()
     {
         DispatchHarness harness;
-        limitAll(harness);
+        limitAllServers(harness);
         const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(429, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("rate_limited") != std::string::npos);
@@ -144,10 +145,10 @@
         CPPUNIT_ASSERT_EQUAL(200, harness.serve("/chat/1")->response.status);
     }
 
-    void returnsOfRefusedCallersAreSpread()
+    void retriesOfRefusedCallersAreSpread()
     {
         DispatchHarness harness;
-        limitAll(harness);
+        limitAllServers(harness);
         double last = 0;
         for (int caller = 0; caller < 4; ++caller) {
             const auto refused = harness.serve("/safe/1");
@@ -157,7 +158,7 @@
         }
     }
 
-    void repeatDoesNotGoToALimitedServer()
+    void retryDoesNotGoToALimitedServer()
     {
         DispatchHarness harness;
         harness.state.gate.limits().noteAnswer({ HostId("a2"), ZoneId("z") }, RequestRate(0),
@@ -168,7 +169,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, harness.client.sent().size());
     }
 
-    void limitOfAnotherServerAtTheAddressCountsForNothing()
+    void limitOfAnotherServerAtTheAddressIsIgnored()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer,
@@ -179,24 +180,25 @@
     }
 
 private:
-    static void limitAll(DispatchHarness &harness)
+    static void limitAllServers(DispatchHarness &harness)
     {
         for (const char *host : { "a1", "a2" })
             harness.state.gate.limits().noteAnswer({ HostId(host), ZoneId("z") }, RequestRate(1),
                                                    harness.clock.now(), harness.clock.now());
     }
 
-    static void expectLimitKept(const std::string &path)
+    static void expectLimitRespected(const std::string &path)
     {
         for (const int daemons : { 1, 6, 71 }) {
             for (const double rate : { 0.2, 1.0, 1.6 }) {
-                LimitedServer played(daemons, RequestRate(rate), path);
-                played.play();
-                const std::string what = std::to_string(daemons) + " daemons, "
-                    + std::to_string(rate) + " a second: " + std::to_string(played.mostInWindow())
-                    + " in a window";
-                CPPUNIT_ASSERT_MESSAGE(what, played.mostInWindow() <= played.allowed());
-                CPPUNIT_ASSERT_EQUAL_MESSAGE(what, played.asked(), played.served());
+                LimitedServerSimulation simulation(daemons, RequestRate(rate), path);
+                simulation.simulate();
+                const std::string label = std::to_string(daemons) + " daemons, "
+                    + std::to_string(rate) + " a second: "
+                    + std::to_string(simulation.maxArrivalsInWindow()) + " in a window";
+                CPPUNIT_ASSERT_MESSAGE(
+                    label, simulation.maxArrivalsInWindow() <= simulation.allowedInWindow());
+                CPPUNIT_ASSERT_EQUAL_MESSAGE(label, simulation.requested(), simulation.served());
             }
         }
     }
