--- a/ramphinge/dispatch/urgency_test.cpp
+++ b/ramphinge/dispatch/urgency_test.cpp
@@ -1,5 +1,5 @@
-// Tests of which requests go first: plays more load than a replica bears, from several daemons that
-// each see only their own requests, and checks what the callers get.
+// Tests of serving late requests last. A simulation offers a replica more load than it can serve,
+// from several daemons that each see only their own requests, and counts the answers in time.
 
 #include <algorithm>
 #include <deque>
@@ -18,12 +18,12 @@
 constexpr int daemons = 3;
 constexpr int slots = 26;
 constexpr Duration tick = std::chrono::milliseconds(5);
-// A request holds its place in the batch for so long: the replica starts 17 a second.
+// How long a request occupies a batch slot; the replica starts 17 requests a second.
 constexpr Duration streamTime = std::chrono::milliseconds(1500);
-// From a place in the batch to the first event.
+// From the start in a batch slot to the first event.
 constexpr Duration firstEventTime = std::chrono::milliseconds(120);
-constexpr Duration objective = std::chrono::milliseconds(500);
-constexpr Duration patience = std::chrono::seconds(6);
+constexpr Duration firstEventObjective = std::chrono::milliseconds(500);
+constexpr Duration requestTimeout = std::chrono::seconds(6);
 const Tokens smallPrompt(200);
 const Tokens largePrompt(4000);
 
@@ -38,7 +38,7 @@
     bool begun = false;
 };
 
-// What callers got.
+// What callers received.
 struct Outcome
 {
     int sent = 0;
@@ -49,11 +49,11 @@
     int largeInTime = 0;
 };
 
-// One replica that starts the late requests last, and daemons in front of it.
-class Overload
+// Simulates daemons that send to one replica, which starts requests marked late last.
+class OverloadSimulation
 {
 public:
-    explicit Overload(UrgencyOptions options) : m_options(options), m_random(7)
+    explicit OverloadSimulation(UrgencyOptions options) : m_options(options), m_random(7)
     {
         CatalogContent content;
         EngineProfile engine;
@@ -72,15 +72,15 @@
         }
     }
 
-    // `perSecond` requests for each daemon.
-    Outcome play(double perSecond, Duration length)
+    // Each daemon sends `requestsPerSecond`.
+    Outcome simulate(double requestsPerSecond, Duration length)
     {
-        const double perTick = perSecond * daemons * toMilliseconds(tick) / 1000;
+        const double requestsPerTick = requestsPerSecond * daemons * toMilliseconds(tick) / 1000;
         for (Duration at {}; at < length; at += tick) {
             m_now += tick;
-            if (m_random.fraction() < perTick)
-                arrive();
-            progress();
+            if (m_random.fraction() < requestsPerTick)
+                sendRequest();
+            advanceReplica();
         }
         return m_outcome;
     }
@@ -103,7 +103,7 @@
         fleet.put(server);
     }
 
-    void arrive()
+    void sendRequest()
     {
         Request request;
         request.daemon = static_cast<int>(m_random.below(daemons));
@@ -111,14 +111,15 @@
         request.sentAt = m_now;
         TargetTable &table = m_tables[static_cast<std::size_t>(request.daemon)];
         request.predicted = table.expectedTime(head, request.prompt, m_now);
-        request.urgency = urgencyOf({ request.predicted, objective, {}, false }, m_options);
+        request.urgency =
+            urgencyOf({ request.predicted, firstEventObjective, {}, false }, m_options);
         table.sent(head, request.prompt, request.urgency);
         ++m_outcome.sent;
         m_outcome.largeSent += request.prompt == largePrompt ? 1 : 0;
         (request.urgency == Urgency::Late ? m_lateQueue : m_queue).push_back(request);
     }
 
-    void progress()
+    void advanceReplica()
     {
         endRunning();
         expire(m_queue);
@@ -131,17 +132,17 @@
         }
         for (Request &request : m_running) {
             if (!request.begun && m_now - request.startedAt >= firstEventTime)
-                begin(request);
+                beginStream(request);
         }
     }
 
-    void begin(Request &request)
+    void beginStream(Request &request)
     {
         request.begun = true;
         const Duration took = m_now - request.sentAt;
         table(request).progressed(head, m_now);
         table(request).began(head, request.prompt, took, request.predicted, m_now, request.urgency);
-        const bool inTime = took <= objective;
+        const bool inTime = took <= firstEventObjective;
         (inTime ? m_outcome.inTime : m_outcome.late) += 1;
         m_outcome.largeInTime += inTime && request.prompt == largePrompt ? 1 : 0;
     }
@@ -160,7 +161,7 @@
 
     void expire(std::deque<Request> &queue)
     {
-        while (!queue.empty() && m_now - queue.front().sentAt >= patience) {
+        while (!queue.empty() && m_now - queue.front().sentAt >= requestTimeout) {
             table(queue.front()).ended(head, queue.front().prompt, false, queue.front().urgency);
             ++m_outcome.expired;
             queue.pop_front();
@@ -182,8 +183,8 @@
     Outcome m_outcome;
 };
 
-// Nothing is ever late: requests are served in order of arrival.
-UrgencyOptions inOrderOfArrival()
+// Options under which no request counts as late, so that requests are served in order of arrival.
+UrgencyOptions inArrivalOrderOptions()
 {
     UrgencyOptions options;
     options.lateFactor = 1e6;
@@ -195,31 +196,32 @@
     return static_cast<double>(part) / std::max(1, whole);
 }
 
-constexpr Duration aMinute = std::chrono::seconds(60);
-// Requests a second for each daemon: half more than the replica can start, and 7 in 10 of that.
-constexpr double overload = 8.7;
-constexpr double ordinary = 4;
+constexpr Duration simulatedTime = std::chrono::seconds(60);
+// Requests per second from each daemon: 1.5 times what the replica can start, and 0.7 times.
+constexpr double overloadRequestsPerSecond = 8.7;
+constexpr double normalRequestsPerSecond = 4;
 
 } // namespace
 
 class UrgencyTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UrgencyTest);
-    CPPUNIT_TEST(requestIsLateWhenItsObjectiveIsOutOfReach);
+    CPPUNIT_TEST(requestIsLateIfItWillMissItsObjective);
     CPPUNIT_TEST(startedStreamIsNeverLate);
-    CPPUNIT_TEST(overloadedReplicaAnswersWhatItCanInTime);
-    CPPUNIT_TEST(lateOnesGetTheRest);
-    CPPUNIT_TEST(largeRequestsAreNotLeftOut);
-    CPPUNIT_TEST(nothingChangesWithoutOverload);
+    CPPUNIT_TEST(overloadedReplicaAnswersMoreRequestsInTime);
+    CPPUNIT_TEST(lateRequestsUseTheRemainingCapacity);
+    CPPUNIT_TEST(largeRequestsAreNotStarved);
+    CPPUNIT_TEST(requestsAreInTimeWithoutOverload);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void requestIsLateWhenItsObjectiveIsOutOfReach()
+    void requestIsLateIfItWillMissItsObjective()
     {
         const UrgencyOptions options { 1.0 };
         const auto decide = [&](int predicted, int waited) {
-            return urgencyOf({ Milliseconds(predicted), objective, Milliseconds(waited), false },
-                             options);
+            return urgencyOf(
+                { Milliseconds(predicted), firstEventObjective, Milliseconds(waited), false },
+                options);
         };
         CPPUNIT_ASSERT(decide(500, 0) == Urgency::InTime);
         CPPUNIT_ASSERT(decide(501, 0) == Urgency::Late);
@@ -229,38 +231,46 @@
 
     void startedStreamIsNeverLate()
     {
-        CPPUNIT_ASSERT(urgencyOf({ patience, objective, patience, true }, {}) == Urgency::InTime);
+        CPPUNIT_ASSERT(urgencyOf({ requestTimeout, firstEventObjective, requestTimeout, true }, {})
+                       == Urgency::InTime);
     }
 
-    // In order of arrival nearly all wait for seconds: 3 in 100 are in time, and 37 in 100 where
-    // the late ones go last.
-    void overloadedReplicaAnswersWhatItCanInTime()
+    // In order of arrival nearly all requests wait for seconds, and 3% are in time; when late ones
+    // go last, 37% are.
+    void overloadedReplicaAnswersMoreRequestsInTime()
     {
-        const Outcome before = Overload(inOrderOfArrival()).play(overload, aMinute);
-        const Outcome after = Overload({}).play(overload, aMinute);
-        CPPUNIT_ASSERT(share(before.inTime, before.sent) < 0.1);
-        CPPUNIT_ASSERT(share(after.inTime, after.sent) > 0.3);
+        const Outcome inArrivalOrder = OverloadSimulation(inArrivalOrderOptions())
+                                           .simulate(overloadRequestsPerSecond, simulatedTime);
+        const Outcome lateLast =
+            OverloadSimulation({}).simulate(overloadRequestsPerSecond, simulatedTime);
+        CPPUNIT_ASSERT(share(inArrivalOrder.inTime, inArrivalOrder.sent) < 0.1);
+        CPPUNIT_ASSERT(share(lateLast.inTime, lateLast.sent) > 0.3);
     }
 
-    // No capacity is left unused for it.
-    void lateOnesGetTheRest()
+    // Serving late requests last must not leave capacity unused.
+    void lateRequestsUseTheRemainingCapacity()
     {
-        const Outcome before = Overload(inOrderOfArrival()).play(overload, aMinute);
-        const Outcome after = Overload({}).play(overload, aMinute);
-        CPPUNIT_ASSERT(after.late > 0);
-        CPPUNIT_ASSERT(after.inTime + after.late >= 0.97 * (before.inTime + before.late));
+        const Outcome inArrivalOrder = OverloadSimulation(inArrivalOrderOptions())
+                                           .simulate(overloadRequestsPerSecond, simulatedTime);
+        const Outcome lateLast =
+            OverloadSimulation({}).simulate(overloadRequestsPerSecond, simulatedTime);
+        CPPUNIT_ASSERT(lateLast.late > 0);
+        CPPUNIT_ASSERT(lateLast.inTime + lateLast.late
+                       >= 0.97 * (inArrivalOrder.inTime + inArrivalOrder.late));
     }
 
-    void largeRequestsAreNotLeftOut()
+    void largeRequestsAreNotStarved()
     {
-        const Outcome outcome = Overload({}).play(overload, aMinute);
+        const Outcome outcome =
+            OverloadSimulation({}).simulate(overloadRequestsPerSecond, simulatedTime);
         CPPUNIT_ASSERT(share(outcome.largeInTime, outcome.largeSent)
                        > 0.5 * share(outcome.inTime, outcome.sent));
     }
 
-    void nothingChangesWithoutOverload()
+    void requestsAreInTimeWithoutOverload()
     {
-        const Outcome outcome = Overload({}).play(ordinary, aMinute);
+        const Outcome outcome =
+            OverloadSimulation({}).simulate(normalRequestsPerSecond, simulatedTime);
         CPPUNIT_ASSERT(share(outcome.inTime, outcome.sent) > 0.95);
     }
 };
