--- a/ramphinge/dispatch/dispatch_test.cpp
+++ b/ramphinge/dispatch/dispatch_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the request path: admission, events, choice of a place, and whole requests against
-// scripted upstreams.
+// Tests of the request path: admission, event parsing, choice of a target, demand, stalls, and
+// complete requests against scripted upstreams.
 
 #include <stdexcept>
 
@@ -14,11 +14,11 @@
 
 namespace {
 
-// Passes calls on; `beforeRead` is called before each piece of an answer is read.
-class WatchedClient : public HttpClient
+// Forwards calls to another client, and calls `beforeRead` before each read of an answer.
+class ReadHookClient : public HttpClient
 {
 public:
-    explicit WatchedClient(HttpClient &inner) : m_inner(inner) { }
+    explicit ReadHookClient(HttpClient &inner) : m_inner(inner) { }
 
     std::unique_ptr<HttpCall> call(const Endpoint &endpoint, const HttpRequest &request,
                                    HttpCallOptions options) override
@@ -35,7 +35,7 @@
     class Call : public HttpCall
     {
     public:
-        Call(WatchedClient &client, std::unique_ptr<HttpCall> inner)
+        Call(ReadHookClient &client, std::unique_ptr<HttpCall> inner)
             : m_client(client), m_inner(std::move(inner))
         { }
 
@@ -55,25 +55,25 @@
         void cancel() override { m_inner->cancel(); }
 
     private:
-        WatchedClient &m_client;
+        ReadHookClient &m_client;
         std::unique_ptr<HttpCall> m_inner;
     };
 
     HttpClient &m_inner;
 };
 
-// A caller who reads nothing for longer than any pause that is allowed, and then everything.
-class SlowCaller : public RecordedExchange
+// A caller that reads nothing for longer than any stall timeout, and then everything.
+class CallerSlowToRead : public RecordedExchange
 {
 public:
-    SlowCaller(IoContext &io, ManualClock &clock)
+    CallerSlowToRead(IoContext &io, ManualClock &clock)
         : RecordedExchange({ "POST", "/chat/x", {}, "body" }), m_io(io), m_clock(clock)
     { }
 
     Status write(std::string_view piece, Yield yield) override
     {
-        for (int i = 0; i < 60;
-             ++i) { // In small steps: a long one would be the daemon's own pause.
+        // In small steps: a long one would count as a pause of the daemon's own process.
+        for (int i = 0; i < 60; ++i) {
             m_clock.advance(std::chrono::milliseconds(50));
             runReadyHandlers(m_io, yield);
         }
@@ -95,55 +95,55 @@
 class DispatchTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DispatchTest);
-    CPPUNIT_TEST(answerGoesThroughUnchanged);
+    CPPUNIT_TEST(answerIsForwardedUnchanged);
     CPPUNIT_TEST(unknownRoutesAndKeysAreRefused);
-    CPPUNIT_TEST(daemonWithoutCatalogSaysNotRunOnly);
-    CPPUNIT_TEST(staleDaemonRefusesEveryKey);
+    CPPUNIT_TEST(daemonWithoutCatalogRefusesEveryRequest);
+    CPPUNIT_TEST(staleDaemonRefusesRequestsThatNeedAKey);
     CPPUNIT_TEST(unreadableRequestIsRefused);
-    CPPUNIT_TEST(refusedRequestGoesToAnotherServer);
+    CPPUNIT_TEST(refusedRequestIsRetriedOnAnotherServer);
     CPPUNIT_TEST(idleConnectionsOfAllDaemonsFitTheServersLimit);
-    CPPUNIT_TEST(refusedEverywhereIsNotRunWithATimeToComeBack);
-    CPPUNIT_TEST(atMostOnceIsNotRepeatedAfterItMayHaveRun);
-    CPPUNIT_TEST(atMostOnceIsRepeatedIfItWasNeverSent);
-    CPPUNIT_TEST(idempotentIsRepeatedAfterAServerError);
-    CPPUNIT_TEST(lastServerErrorIsTheAnswer);
-    CPPUNIT_TEST(answerThatIsNotTheServersOwnIsNoSuccess);
+    CPPUNIT_TEST(requestRefusedByAllServersGetsRetryAfter);
+    CPPUNIT_TEST(atMostOnceIsNotRetriedAfterItMayHaveRun);
+    CPPUNIT_TEST(atMostOnceIsRetriedIfItWasNeverSent);
+    CPPUNIT_TEST(idempotentIsRetriedAfterAServerError);
+    CPPUNIT_TEST(lastServerErrorIsForwarded);
+    CPPUNIT_TEST(unauthenticAnswerIsNoSuccess);
     CPPUNIT_TEST(attemptsAreBounded);
-    CPPUNIT_TEST(repeatsStayWithinTheBudget);
-    CPPUNIT_TEST(streamIsPassedOnEventByEvent);
-    CPPUNIT_TEST(brokenStreamGoesOnAfterItsLastWholeEvent);
-    CPPUNIT_TEST(streamThatCantGoOnNeverLooksWhole);
-    CPPUNIT_TEST(streamEndingInsideAnEventIsNotWhole);
-    CPPUNIT_TEST(missingEventIsNotPassedOver);
-    CPPUNIT_TEST(streamThatMayNotBeResumedIsNot);
-    CPPUNIT_TEST(callerWhoLeavesCancelsTheWork);
-    CPPUNIT_TEST(eventsAreCutAtAnyPlace);
-    CPPUNIT_TEST(placeThatStandsStillIsLeftOut);
-    CPPUNIT_TEST(usualPausesTellWhenAPlaceStandsStill);
-    CPPUNIT_TEST(avoidedPlaceIsStillBetterThanNone);
-    CPPUNIT_TEST(replicaOutsideThePlanGetsNothing);
-    CPPUNIT_TEST(demandFollowsWhatIsAsked);
-    CPPUNIT_TEST(demandOfAllDaemonsIsKnownSoon);
+    CPPUNIT_TEST(retriesStayWithinTheBudget);
+    CPPUNIT_TEST(streamIsForwardedEventByEvent);
+    CPPUNIT_TEST(brokenStreamIsResumedAfterItsLastCompleteEvent);
+    CPPUNIT_TEST(streamThatCannotBeResumedIsAborted);
+    CPPUNIT_TEST(streamEndingInsideAnEventIsIncomplete);
+    CPPUNIT_TEST(missingEventIsFetchedFromAnotherUpstream);
+    CPPUNIT_TEST(streamOfANonResumableRouteIsNotResumed);
+    CPPUNIT_TEST(callerThatLeavesCancelsTheUpstreamCall);
+    CPPUNIT_TEST(eventsAreParsedForAnyChunking);
+    CPPUNIT_TEST(stalledTargetIsNotChosen);
+    CPPUNIT_TEST(stallTimeoutFollowsUsualProgressIntervals);
+    CPPUNIT_TEST(avoidedTargetIsChosenIfNoOtherIsLeft);
+    CPPUNIT_TEST(replicaOutsideThePlanGetsNoRequests);
+    CPPUNIT_TEST(demandFollowsTheRequestedWork);
+    CPPUNIT_TEST(demandIncludesOtherDaemonsReports);
     CPPUNIT_TEST(busyServersFollowTheWork);
-    CPPUNIT_TEST(busyReplicaIsNotLeftStillOneIs);
-    CPPUNIT_TEST(streamIsNotLeftWhileItsCallerIsSlow);
-    CPPUNIT_TEST(ownPauseIsNoSilenceOfTheUpstream);
-    CPPUNIT_TEST(silenceIsNoticedAfterAPauseToo);
-    CPPUNIT_TEST(placesThatAllSeemStillShareTheRequests);
-    CPPUNIT_TEST(newReplicaIsNotJudgedByItsHeadsLastOne);
-    CPPUNIT_TEST(changedBudgetHoldsForServicesInUse);
-    CPPUNIT_TEST(newBudgetCountsTheDaemonsWhoseRegistrationsLapsed);
-    CPPUNIT_TEST(connectionsToServersThatLeftInTwoStepsAreDropped);
-    CPPUNIT_TEST(placeThatLeftIsNotRememberedAnew);
+    CPPUNIT_TEST(stalledReplicaIsDistinguishedFromBusyOne);
+    CPPUNIT_TEST(slowCallerIsNoStallOfTheUpstream);
+    CPPUNIT_TEST(pauseOfTheDaemonIsNoStallOfTheUpstream);
+    CPPUNIT_TEST(stallAfterAPauseOfTheDaemonIsDetected);
+    CPPUNIT_TEST(requestsAreSpreadIfAllTargetsSeemStalled);
+    CPPUNIT_TEST(newReplicaDoesNotInheritStatsOfItsHeadsOldReplica);
+    CPPUNIT_TEST(changedBudgetAppliesToServicesInUse);
+    CPPUNIT_TEST(newBudgetCountsDaemonsWithLapsedRegistrations);
+    CPPUNIT_TEST(connectionsAreClosedOnceLeavingServersAreGone);
+    CPPUNIT_TEST(failuresAfterATargetLeftCreateNoStats);
     CPPUNIT_TEST(requestThatCannotBeSentIsAnswered);
-    CPPUNIT_TEST(requestThatCannotBeReadInIsAnswered);
-    CPPUNIT_TEST(failureBeforeTheSendingPromisesThatNothingHasRun);
-    CPPUNIT_TEST(failureOfTheSendingClosesTheAccountsOfItsUpstream);
-    CPPUNIT_TEST(failureAfterTheSendingSaysThatItMayHaveRun);
+    CPPUNIT_TEST(requestThatCannotBeDecodedIsAnswered);
+    CPPUNIT_TEST(exceptionBeforeSendingIsAnsweredAsNotExecuted);
+    CPPUNIT_TEST(exceptionWhileSendingLeavesNothingInFlight);
+    CPPUNIT_TEST(exceptionAfterSendingIsAnsweredAsPossiblyExecuted);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void answerGoesThroughUnchanged()
+    void answerIsForwardedUnchanged()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, { "he", "llo" }));
@@ -171,7 +171,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void daemonWithoutCatalogSaysNotRunOnly()
+    void daemonWithoutCatalogRefusesEveryRequest()
     {
         DispatchHarness harness;
         harness.state.catalog = nullptr;
@@ -180,11 +180,11 @@
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
-    void staleDaemonRefusesEveryKey()
+    void staleDaemonRefusesRequestsThatNeedAKey()
     {
         DispatchHarness harness;
         harness.clock.advance(std::chrono::seconds(5));
-        // A known key may have been taken away, an unknown one may be new.
+        // A known key may have been revoked, and an unknown one may be new.
         for (const char *key : { "secret", "unknown" }) {
             const auto exchange = harness.serve("/private/x", { { "key", key } });
             CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
@@ -213,7 +213,7 @@
         CPPUNIT_ASSERT_EQUAL(2, harness.client.sent().at(0).options.maxIdleConnections);
     }
 
-    void refusedRequestGoesToAnotherServer()
+    void refusedRequestIsRetriedOnAnotherServer()
     {
         for (const char *path : { "/once/x", "/safe/x" }) {
             DispatchHarness harness;
@@ -223,7 +223,7 @@
         }
     }
 
-    void refusedEverywhereIsNotRunWithATimeToComeBack()
+    void requestRefusedByAllServersGetsRetryAfter()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, notExecutedAnswer());
@@ -233,7 +233,7 @@
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
-    void atMostOnceIsNotRepeatedAfterItMayHaveRun()
+    void atMostOnceIsNotRetriedAfterItMayHaveRun()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoAnswer));
@@ -247,7 +247,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    void atMostOnceIsRepeatedIfItWasNeverSent()
+    void atMostOnceIsRetriedIfItWasNeverSent()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoConnection));
@@ -255,7 +255,7 @@
         CPPUNIT_ASSERT_EQUAL(200, harness.serve("/once/x")->response.status);
     }
 
-    void idempotentIsRepeatedAfterAServerError()
+    void idempotentIsRetriedAfterAServerError()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(500, { "oops" }));
@@ -266,7 +266,7 @@
         CPPUNIT_ASSERT_EQUAL(500, harness.serve("/once/x")->response.status);
     }
 
-    void lastServerErrorIsTheAnswer()
+    void lastServerErrorIsForwarded()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(500, { "one" }));
@@ -276,7 +276,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("two"), exchange->response.body);
     }
 
-    void answerThatIsNotTheServersOwnIsNoSuccess()
+    void unauthenticAnswerIsNoSuccess()
     {
         const HttpHeaders encoded { { "seal", "s" }, { "encoded", "gzip" } };
         for (const HttpHeaders &headers : { HttpHeaders(), encoded }) {
@@ -284,9 +284,9 @@
             harness.client.expect(firstServer, answer(200, { "??" }, headers));
             harness.client.expect(secondServer, answer(200, { "ok" }));
             CPPUNIT_ASSERT_EQUAL(std::string("ok"), harness.serve("/safe/x")->response.body);
-            DispatchHarness once;
-            once.client.expect(firstServer, answer(200, { "??" }, headers));
-            CPPUNIT_ASSERT_EQUAL(502, once.serve("/once/x")->response.status);
+            DispatchHarness onceHarness;
+            onceHarness.client.expect(firstServer, answer(200, { "??" }, headers));
+            CPPUNIT_ASSERT_EQUAL(502, onceHarness.serve("/once/x")->response.status);
         }
     }
 
@@ -301,7 +301,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    void repeatsStayWithinTheBudget()
+    void retriesStayWithinTheBudget()
     {
         DispatchHarness harness;
         harness.state.budgetOptions.slack = 0;
@@ -310,7 +310,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void streamIsPassedOnEventByEvent()
+    void streamIsForwardedEventByEvent()
     {
         DispatchHarness harness;
         const std::string second = event(2);
@@ -323,12 +323,12 @@
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
     }
 
-    void brokenStreamGoesOnAfterItsLastWholeEvent()
+    void brokenStreamIsResumedAfterItsLastCompleteEvent()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2).substr(0, 7) }));
-        ScriptedAnswer rest = answer(200, { event(2), event(3) }, { { "seal", "other" } });
-        harness.client.expect(secondServer, rest);
+        ScriptedAnswer resumed = answer(200, { event(2), event(3) }, { { "seal", "other" } });
+        harness.client.expect(secondServer, resumed);
         const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
@@ -336,7 +336,7 @@
         CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "1");
     }
 
-    void streamThatCantGoOnNeverLooksWhole()
+    void streamThatCannotBeResumedIsAborted()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
@@ -346,7 +346,7 @@
         CPPUNIT_ASSERT(exchange->aborted);
     }
 
-    void streamEndingInsideAnEventIsNotWhole()
+    void streamEndingInsideAnEventIsIncomplete()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, { event(1), "id: 2\nda" }));
@@ -355,7 +355,7 @@
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
     }
 
-    void missingEventIsNotPassedOver()
+    void missingEventIsFetchedFromAnotherUpstream()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, { event(1), event(3) }));
@@ -365,7 +365,7 @@
         CPPUNIT_ASSERT(exchange->finished);
     }
 
-    void streamThatMayNotBeResumedIsNot()
+    void streamOfANonResumableRouteIsNotResumed()
     {
         DispatchHarness harness;
         CatalogContent changed = content();
@@ -377,7 +377,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void callerWhoLeavesCancelsTheWork()
+    void callerThatLeavesCancelsTheUpstreamCall()
     {
         DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
@@ -389,9 +389,9 @@
         CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId("c1")));
     }
 
-    void eventsAreCutAtAnyPlace()
+    void eventsAreParsedForAnyChunking()
     {
-        const bool sound = rc::check("any cut of a stream gives the same events", [] {
+        const bool passed = rc::check("any cut of a stream gives the same events", [] {
             std::string stream;
             for (int id = 1; id <= 5; ++id)
                 stream += event(id);
@@ -411,10 +411,10 @@
             RC_ASSERT(ids == (std::vector<std::string> { "1", "2", "3", "4", "5" }));
             RC_ASSERT(reader.rest() == 0U);
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void placeThatStandsStillIsLeftOut()
+    void stalledTargetIsNotChosen()
     {
         DispatchHarness harness;
         TargetTable &targets = harness.state.targets;
@@ -431,15 +431,16 @@
                        == first);
     }
 
-    // A small model's streams bring something every 40 ms, a large one's that reads prompts every
-    // 290 ms: silence means more at the first. Events of one pass come close together.
-    void usualPausesTellWhenAPlaceStandsStill()
+    // Streams of a small model make progress every 40 ms, those of a large one that also prefills
+    // prompts every 290 ms, so the small one's stall timeout must be shorter. Events of one engine
+    // step arrive close together.
+    void stallTimeoutFollowsUsualProgressIntervals()
     {
         DispatchHarness harness;
         TargetTable &targets = harness.state.targets;
         const HostId small("c1");
         const HostId large("c2");
-        CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(450)); // Nothing is known yet.
+        CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(450)); // The default.
         for (const HostId &host : { small, large }) {
             targets.sent(host, Tokens(1));
             targets.began(host, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
@@ -458,7 +459,7 @@
                        == large);
     }
 
-    void avoidedPlaceIsStillBetterThanNone()
+    void avoidedTargetIsChosenIfNoOtherIsLeft()
     {
         DispatchHarness harness;
         TargetTable &targets = harness.state.targets;
@@ -472,11 +473,11 @@
             == nullptr);
     }
 
-    void replicaOutsideThePlanGetsNothing()
+    void replicaOutsideThePlanGetsNoRequests()
     {
         DispatchHarness harness;
         harness.plan.replicas[0].phase = ReplicaPhase::Broken;
-        harness.plan.replicas[1].epoch = Epoch(9); // The head is still of an older forming.
+        harness.plan.replicas[1].epoch = Epoch(9); // The head still belongs to an older epoch.
         harness.rebuild();
         CPPUNIT_ASSERT(harness.state.targets.choose({ chat, model, {}, {} }, harness.clock.now())
                        == nullptr);
@@ -485,7 +486,7 @@
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
-    void demandFollowsWhatIsAsked()
+    void demandFollowsTheRequestedWork()
     {
         ManualClock clock;
         EngineProfile engine;
@@ -496,16 +497,16 @@
         for (int i = 0; i < 2000; ++i)
             meter.add(engine, ModelId(i % 2 == 0 ? "a" : "b"), Tokens(100), Tokens(10),
                       clock.now());
-        // As many requests, each of four servers' time.
+        // Equal request counts, but each request to "a" takes the time of four servers.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, meter.shareOf(engine, ModelId("a"), clock.now()), 0.02);
         clock.advance(std::chrono::minutes(5));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, meter.shareOf(engine, ModelId("a"), clock.now()), 0.01);
     }
 
-    // Seventy daemons, the mix of whose requests turns at once. One of them alone gets the smaller
-    // kind every third second; before it knew what the others get, it had hardly noticed after the
-    // time of a load.
-    void demandOfAllDaemonsIsKnownSoon()
+    // Guards against a planner that learns of a changed request mix too late: of 70 daemons, one
+    // alone gets a request of the rarer kind every third second. From its own requests it had
+    // hardly noticed the change after the time of one weight load.
+    void demandIncludesOtherDaemonsReports()
     {
         ManualClock clock;
         EngineProfile engine;
@@ -513,25 +514,25 @@
         const ModelId small("small");
         engine.models.push_back({ large, 16, 0.5, 1, {}, {} });
         engine.models.push_back({ small, 4, 0.5, 1, {}, {} });
-        const auto play = [&](int largePerSecond, int smallPerSecond, DemandMeter &meter) {
+        const auto addRequests = [&](int largePerSecond, int smallPerSecond, DemandMeter &meter) {
             for (int i = 0; i < largePerSecond + smallPerSecond; ++i)
                 meter.add(engine, i < largePerSecond ? large : small, Tokens(1000), Tokens(200),
                           clock.now());
         };
         DemandMeter planner(std::chrono::seconds(6));
-        DemandMeter rest(std::chrono::seconds(6)); // The sum over the others.
-        const auto turnFor = [&](int seconds, int largePerSecond, int smallPerSecond) {
+        DemandMeter othersMeter(std::chrono::seconds(6)); // Sum over the other daemons.
+        const auto shareAfter = [&](int seconds, int largePerSecond, int smallPerSecond) {
             for (int i = 0; i < seconds; ++i) {
                 clock.advance(std::chrono::seconds(1));
-                play(largePerSecond, smallPerSecond, rest);
-                planner.setOthers(rest.own(clock.now()), clock.now());
+                addRequests(largePerSecond, smallPerSecond, othersMeter);
+                planner.setOthers(othersMeter.own(clock.now()), clock.now());
             }
             return planner.shareOf(engine, large, clock.now());
         };
-        // Of all servers' time: 40 requests of 16 servers against 420 of 4.
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.276, turnFor(20, 40, 420), 0.02);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.656, turnFor(16, 100, 210), 0.09);
-        planner.setOthers({}, clock.now()); // Their word is gone.
+        // Shares of all server time: 40 requests to 16 servers each against 420 to 4 each.
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.276, shareAfter(20, 40, 420), 0.02);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.656, shareAfter(16, 100, 210), 0.09);
+        planner.setOthers({}, clock.now()); // The other daemons' reports have expired.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, planner.shareOf(engine, large, clock.now()), 1e-9);
     }
 
@@ -558,25 +559,27 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(servers, idle.busyServers(engine, servers, 9, clock.now()),
                                      1e-9);
         DemandMeter light(std::chrono::seconds(6));
-        const double once = busyAfter(light, 200, 1);
+        const double serversBusyAt200 = busyAfter(light, 200, 1);
         DemandMeter heavier(std::chrono::seconds(6));
-        const double twice = busyAfter(heavier, 400, 1);
-        CPPUNIT_ASSERT(once < twice && twice < servers);
-        // One of two daemons, as long as nothing is known of the other; then the other counts.
-        DemandMeter half(std::chrono::seconds(6));
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(twice, busyAfter(half, 200, 2), 0.1 * twice);
-        half.setOthers(half.own(clock.now()), clock.now());
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(twice, half.busyServers(engine, servers, 2, clock.now()),
-                                     0.1 * twice);
-        // 200 requests a second keep `once` servers busy, of which a replica has four.
+        const double serversBusyAt400 = busyAfter(heavier, 400, 1);
+        CPPUNIT_ASSERT(serversBusyAt200 < serversBusyAt400 && serversBusyAt400 < servers);
+        // One of two daemons: it doubles its own work until the other one's work is known.
+        DemandMeter meterOfOneDaemon(std::chrono::seconds(6));
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(serversBusyAt400, busyAfter(meterOfOneDaemon, 200, 2),
+                                     0.1 * serversBusyAt400);
+        meterOfOneDaemon.setOthers(meterOfOneDaemon.own(clock.now()), clock.now());
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(serversBusyAt400,
+                                     meterOfOneDaemon.busyServers(engine, servers, 2, clock.now()),
+                                     0.1 * serversBusyAt400);
+        // 200 requests per second keep `serversBusyAt200` servers busy; a replica has four servers.
         const double rate = light.rateOfReplica(engine, model, clock.now())->perSecond();
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(200 * 4 / once, rate, 0.15 * rate);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(200 * 4 / serversBusyAt200, rate, 0.15 * rate);
         CPPUNIT_ASSERT(!idle.rateOfReplica(engine, model, clock.now()));
         DemandMeter flooded(std::chrono::seconds(6));
         CPPUNIT_ASSERT(busyAfter(flooded, 5000, 1) <= servers);
     }
 
-    void busyReplicaIsNotLeftStillOneIs()
+    void stalledReplicaIsDistinguishedFromBusyOne()
     {
         const StallOptions options;
         StreamObservation stream;
@@ -584,14 +587,14 @@
         stream.objective = std::chrono::milliseconds(300);
         stream.pauseObjective = std::chrono::milliseconds(200);
         stream.standstill = std::chrono::milliseconds(450);
-        // Not begun: others of the replica tell.
+        // Not begun: other streams of the replica show whether it makes progress.
         stream.othersUnderWay = true;
         stream.waited = std::chrono::seconds(3);
         stream.quiet = std::chrono::milliseconds(80);
         CPPUNIT_ASSERT(!standsStill(stream, options));
         stream.quiet = std::chrono::milliseconds(500);
         CPPUNIT_ASSERT(standsStill(stream, options));
-        // Nobody to tell: the prediction and the objective do.
+        // No other streams: the prediction and the objective decide.
         stream.othersUnderWay = false;
         stream.waited = std::chrono::milliseconds(299);
         CPPUNIT_ASSERT(!standsStill(stream, options));
@@ -599,9 +602,9 @@
         CPPUNIT_ASSERT(standsStill(stream, options));
         stream.expected = std::chrono::milliseconds(400);
         CPPUNIT_ASSERT(!standsStill(stream, options));
-        // Begun: a pause of its own, longer if the replica serves others.
+        // Begun: its own event gap decides; a longer one is allowed if other streams make progress.
         stream.begun = true;
-        // Not for a short silence: it might find no other place.
+        // A short gap is no stall: the stream might find no other target.
         stream.waited = std::chrono::milliseconds(599);
         CPPUNIT_ASSERT(!standsStill(stream, options));
         stream.waited = std::chrono::milliseconds(601);
@@ -613,18 +616,21 @@
         CPPUNIT_ASSERT(standsStill(stream, options));
     }
 
-    // What the upstream sent waits until the caller has read: that is not the upstream's silence.
-    void streamIsNotLeftWhileItsCallerIsSlow()
+    // Data from the upstream waits while the caller doesn't read; that must not count as a stall of
+    // the upstream.
+    void slowCallerIsNoStallOfTheUpstream()
     {
         DispatchHarness harness;
         ScriptedAnswer first = answer(200, { event(1), event(2) });
-        first.holdAfter = 1; // The look comes after the caller has read, and before the next event.
-        first.goesOnWhen = [turns = 0]() mutable { return ++turns > 100; };
+        first.holdAfter = 1; // Stall checks run after the caller's read, before the next event.
+        first.goesOnWhen = [iterations = 0]() mutable { return ++iterations > 100; };
         harness.client.expect(firstServer, first);
         harness.client.expect(secondServer, answer(200, { event(2) }));
-        std::shared_ptr<SlowCaller> caller;
+        std::shared_ptr<CallerSlowToRead> caller;
         harness.serve(
-            [&](IoContext &io) { return caller = std::make_shared<SlowCaller>(io, harness.clock); },
+            [&](IoContext &io) {
+                return caller = std::make_shared<CallerSlowToRead>(io, harness.clock);
+            },
             harness.client);
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
         CPPUNIT_ASSERT(caller->finished);
@@ -632,20 +638,21 @@
         CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
-    // After a pause of the whole process its timers may come before the bytes that arrived
-    // meanwhile.
-    void ownPauseIsNoSilenceOfTheUpstream()
+    // After a pause of the whole process its timers may fire before the bytes that arrived during
+    // the pause are read; that must not count as a stall of the upstream.
+    void pauseOfTheDaemonIsNoStallOfTheUpstream()
     {
         for (const int pausedRead : { 1, 2 }) {
             DispatchHarness harness;
             harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
             harness.client.expect(secondServer, answer(200, { event(2) }));
-            const auto caller = serveWithTurns(harness, [&](IoContext &io, int read, Yield yield) {
-                runReadyHandlers(io, yield);
-                if (read == pausedRead)
-                    harness.clock.advance(std::chrono::seconds(3));
-                runReadyHandlers(io, yield);
-            });
+            const auto caller =
+                serveWithReadHook(harness, [&](IoContext &io, int read, Yield yield) {
+                    runReadyHandlers(io, yield);
+                    if (read == pausedRead)
+                        harness.clock.advance(std::chrono::seconds(3));
+                    runReadyHandlers(io, yield);
+                });
             CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
             CPPUNIT_ASSERT(caller->finished);
             CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
@@ -653,13 +660,13 @@
         }
     }
 
-    // Time that goes by while the daemon looks on is the upstream's own.
-    void silenceIsNoticedAfterAPauseToo()
+    // Time that passes while the daemon runs counts as the upstream's silence.
+    void stallAfterAPauseOfTheDaemonIsDetected()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
         harness.client.expect(secondServer, answer(200, { event(2) }));
-        const auto caller = serveWithTurns(harness, [&](IoContext &io, int read, Yield yield) {
+        const auto caller = serveWithReadHook(harness, [&](IoContext &io, int read, Yield yield) {
             runReadyHandlers(io, yield);
             if (read != 2)
                 return;
@@ -674,9 +681,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    // After a pause of the daemon's own all places seem to stand still, as long as their bytes are
-    // not read: what was asked meanwhile must not all go to one.
-    void placesThatAllSeemStillShareTheRequests()
+    // After a pause of the daemon's process all targets seem stalled until their bytes are read.
+    // The requests that arrived during the pause must not all go to one target.
+    void requestsAreSpreadIfAllTargetsSeemStalled()
     {
         DispatchHarness harness;
         TargetTable &targets = harness.state.targets;
@@ -697,17 +704,16 @@
         }
         CPPUNIT_ASSERT(chosen[HostId("c1")] >= 10);
         CPPUNIT_ASSERT(chosen[HostId("c2")] >= 10);
-        // One that was not reachable comes after one that only seems still.
+        // A target that was unreachable is chosen after one that only seems stalled.
         targets.avoid(HostId("c1"), harness.clock.now());
         CPPUNIT_ASSERT(targets.choose({ chat, model, prompt, {} }, harness.clock.now())->host
                        == HostId("c2"));
     }
 
-    // Servers take no requests for a while before they are gone: they say that they leave, or their
-    // replica breaks. Their addresses may be another's next.
-    // The last request to a server that left may fail after it has ended there. What was noted of
-    // it then stayed for good, some hundred bytes for each server that ever left so.
-    void placeThatLeftIsNotRememberedAnew()
+    // Guards against a memory leak: the last request to a server may fail after the server has left
+    // the fleet. Recording that failure created statistics anew that were never removed, some
+    // hundred bytes for each such server.
+    void failuresAfterATargetLeftCreateNoStats()
     {
         DispatchHarness harness;
         const HostId host("a1");
@@ -723,7 +729,10 @@
         CPPUNIT_ASSERT(!targets.remembers(host));
     }
 
-    void connectionsToServersThatLeftInTwoStepsAreDropped()
+    // Servers accept no requests for a while before they leave the fleet: they announce that they
+    // are leaving, or their replica breaks. Another server may get their address next, so their
+    // connections must be closed when they are gone.
+    void connectionsAreClosedOnceLeavingServersAreGone()
     {
         DispatchHarness harness;
         const HostId plain("a3");
@@ -738,7 +747,8 @@
         harness.fleet.put(leaving);
         harness.plan.replicas.back().phase = ReplicaPhase::Broken;
         harness.rebuild();
-        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty()); // They may be at work.
+        // Servers that are leaving may still serve requests.
+        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
         for (const HostId &host : { plain, head })
             harness.fleet.remove(incarnationOf(host).name, harness.clock.now());
         harness.rebuild();
@@ -750,37 +760,37 @@
         CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
     }
 
-    // Registrations lapse while the store is away, and the daemons are still there: also for the
-    // budget of a service that is asked for the first time then.
-    void newBudgetCountsTheDaemonsWhoseRegistrationsLapsed()
+    // Registrations lapse while the store is unavailable, though the daemons still run. The retry
+    // budget of a service that gets its first request then must count those daemons too.
+    void newBudgetCountsDaemonsWithLapsedRegistrations()
     {
         DispatchHarness harness;
         harness.state.noteDaemons(9);
         harness.state.noteDaemons(1);
         SharedRetryBudget &budget = harness.state.budgetOf(chat);
-        int repeats = 0;
-        while (repeats < 20 && budget.take(harness.clock.now()))
-            ++repeats;
-        // Half of an even share of the slack of 20.
-        CPPUNIT_ASSERT_EQUAL(1, repeats);
+        int retries = 0;
+        while (retries < 20 && budget.take(harness.clock.now()))
+            ++retries;
+        // Half of one daemon's even share of the slack of 20 retries.
+        CPPUNIT_ASSERT_EQUAL(1, retries);
     }
 
-    // The operators may change the budget's settings while the daemon runs.
-    void changedBudgetHoldsForServicesInUse()
+    // Operators may change the budget's settings while the daemon runs.
+    void changedBudgetAppliesToServicesInUse()
     {
         DispatchHarness harness;
         CPPUNIT_ASSERT(harness.state.budgetOf(chat).take(harness.clock.now()));
         harness.state.budgetOptions = { 0, 0, std::chrono::seconds(10) };
         CPPUNIT_ASSERT(!harness.state.budgetOf(chat).allows(harness.clock.now()));
-        // What was used before counts against the new bound.
+        // Retries before the change count against the new limit.
         harness.state.budgetOptions = { 0, 4, std::chrono::seconds(10) };
         CPPUNIT_ASSERT(harness.state.budgetOf(chat).take(harness.clock.now()));
         CPPUNIT_ASSERT(!harness.state.budgetOf(chat).allows(harness.clock.now()));
     }
 
-    // A daemon that was cut off from the store may find a server as the head of another replica
-    // than it was before, without having seen it between the two.
-    void newReplicaIsNotJudgedByItsHeadsLastOne()
+    // After a partition from the store a daemon may see a server as the head of another replica
+    // without having seen it leave the first one. Statistics of the old replica must not apply.
+    void newReplicaDoesNotInheritStatsOfItsHeadsOldReplica()
     {
         DispatchHarness harness;
         TargetTable &targets = harness.state.targets;
@@ -823,12 +833,9 @@
                        == head);
     }
 
-    // What users saw: requests ended without an answer, their connections closed.
-    //
-    // Cause: whatever was thrown on a request's way ended the coroutine of its connection. A
-    // message that the HTTP library does not build is one such case: a field that it can't hold.
-    //
-    // Evidence: a line "ended_by_exception", and no answer.
+    // Guards against connections that close without an answer: an exception on the request path
+    // ended the connection's coroutine, with a log line "ended_by_exception". One way there is a
+    // header field that is too long for the HTTP library.
     void requestThatCannotBeSentIsAnswered()
     {
         DispatchHarness harness;
@@ -847,7 +854,7 @@
         assertNothingInFlight(harness);
     }
 
-    void requestThatCannotBeReadInIsAnswered()
+    void requestThatCannotBeDecodedIsAnswered()
     {
         DispatchHarness harness;
         harness.codec.onDecode = fail;
@@ -856,7 +863,7 @@
         CPPUNIT_ASSERT(caller->response.headers.find("Retry-After"));
     }
 
-    void failureBeforeTheSendingPromisesThatNothingHasRun()
+    void exceptionBeforeSendingIsAnsweredAsNotExecuted()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
             DispatchHarness harness;
@@ -868,8 +875,8 @@
         }
     }
 
-    // Thrown by the call itself, before its first byte and after it.
-    void failureOfTheSendingClosesTheAccountsOfItsUpstream()
+    // The call itself throws, before and after its first byte is sent.
+    void exceptionWhileSendingLeavesNothingInFlight()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
             for (const bool isSent : { false, true }) {
@@ -887,7 +894,7 @@
         }
     }
 
-    void failureAfterTheSendingSaysThatItMayHaveRun()
+    void exceptionAfterSendingIsAnsweredAsPossiblyExecuted()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
             DispatchHarness harness;
@@ -914,12 +921,12 @@
             CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId(host)));
     }
 
-    // Serves a stream; `beforeRead` gets the number of the read that follows, from 1.
+    // Serves a stream; `beforeRead` gets the number of the read that follows, counted from 1.
     static std::shared_ptr<RecordedExchange>
-    serveWithTurns(DispatchHarness &harness,
-                   const std::function<void(IoContext &, int, Yield)> &beforeRead)
+    serveWithReadHook(DispatchHarness &harness,
+                      const std::function<void(IoContext &, int, Yield)> &beforeRead)
     {
-        WatchedClient client(harness.client);
+        ReadHookClient client(harness.client);
         int reads = 0;
         auto caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/x", {}, "body" });
