--- a/ramphinge/dispatch/stream_run_test.cpp
+++ b/ramphinge/dispatch/stream_run_test.cpp
@@ -1,4 +1,5 @@
-// Tests of streams that go on elsewhere: what their callers have, and when their answer is whole.
+// Tests of streams that are resumed on another upstream: which events the caller receives, when the
+// answer counts as complete, and that nothing outlives the request.
 
 #include <algorithm>
 #include <stdexcept>
@@ -16,11 +17,11 @@
 const Endpoint thirdServer { "10.0.0.3", 80 };
 const Endpoint fourthServer { "10.0.0.4", 80 };
 
-// A caller who takes the end of its answer only after longer than any pause that is allowed.
-class CallerSlowAtTheEnd : public RecordedExchange
+// A caller that accepts the end of its answer only after longer than any stall timeout.
+class CallerSlowToFinish : public RecordedExchange
 {
 public:
-    CallerSlowAtTheEnd(IoContext &io, ManualClock &clock)
+    CallerSlowToFinish(IoContext &io, ManualClock &clock)
         : RecordedExchange({ "POST", "/chat/x", {}, "body" }), m_io(io), m_clock(clock)
     { }
 
@@ -30,18 +31,18 @@
         return RecordedExchange::respond(answer, yield);
     }
 
-    std::function<void()> atTheEnd;
+    std::function<void()> onFinish;
 
     Status finish(Yield yield) override
     {
-        if (atTheEnd)
-            atTheEnd();
+        if (onFinish)
+            onFinish();
         wait(yield);
         return RecordedExchange::finish(yield);
     }
 
 private:
-    // In small steps: a long one would be a pause of the daemon's own.
+    // In small steps: a long one would count as a pause of the daemon's own process.
     void wait(Yield yield)
     {
         for (int i = 0; i < 60; ++i) {
@@ -54,12 +55,12 @@
     ManualClock &m_clock;
 };
 
-// Passes calls on to a scripted client. What the first server sends after its first event arrives
-// as its call is cancelled, and is read all the same.
-class CrossingClient : public HttpClient
+// Forwards calls to a scripted client. The data that the first server sends after its first event
+// arrives just as its call is cancelled, and is still read.
+class LateDataClient : public HttpClient
 {
 public:
-    CrossingClient(IoContext &io, ScriptedClient &inner) : m_io(io), m_inner(inner) { }
+    LateDataClient(IoContext &io, ScriptedClient &inner) : m_io(io), m_inner(inner) { }
 
     std::unique_ptr<HttpCall> call(const Endpoint &endpoint, const HttpRequest &request,
                                    HttpCallOptions options) override
@@ -115,57 +116,49 @@
 class StreamRunTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(StreamRunTest);
-    CPPUNIT_TEST(streamWithNothingLeftEndsWell);
-    CPPUNIT_TEST(callerWhoHasEveryEventGetsAnEnd);
-    CPPUNIT_TEST(answerWithoutAnyEventIsNotWhole);
-    CPPUNIT_TEST(restThatBreaksOffIsNotWhole);
-    CPPUNIT_TEST(restWithoutEventOrLengthIsNotWhole);
-    CPPUNIT_TEST(stillStreamIsKeptUntilAnotherUpstreamTakesIt);
-    CPPUNIT_TEST(streamThatMovesAgainStaysWhereItIs);
-    CPPUNIT_TEST(stillStreamGoesOnWhereItIsTaken);
-    CPPUNIT_TEST(callerWhoLeavesCancelsBothUpstreams);
-    CPPUNIT_TEST(upstreamThatIsAskedAlreadyGoesOnAfterABreak);
-    CPPUNIT_TEST(upstreamThatOnlySentItsHeadIsLeftToo);
-    CPPUNIT_TEST(askedUpstreamIsCancelledAsSoonAsThePresentOneGoesOn);
-    CPPUNIT_TEST(callerWhoLeavesEndsTheWaitForAnotherUpstream);
-    CPPUNIT_TEST(deadlineEndsTheAskingOfAnotherUpstream);
+    CPPUNIT_TEST(streamWithNoEventsLeftIsCompleted);
+    CPPUNIT_TEST(resumeAfterTheLastEventIsCompleted);
+    CPPUNIT_TEST(answerWithoutAnyEventIsIncomplete);
+    CPPUNIT_TEST(truncatedResumedAnswerIsIncomplete);
+    CPPUNIT_TEST(resumedAnswerWithoutEventOrLengthIsIncomplete);
+    CPPUNIT_TEST(stalledStreamIsKeptUntilAnotherUpstreamAcceptsIt);
+    CPPUNIT_TEST(streamThatResumesStaysWithItsUpstream);
+    CPPUNIT_TEST(stalledStreamMovesToTheAcceptingUpstream);
+    CPPUNIT_TEST(callerThatLeavesCancelsBothUpstreams);
+    CPPUNIT_TEST(pendingUpstreamContinuesABrokenStream);
+    CPPUNIT_TEST(upstreamThatStallsAfterItsHeadIsReplaced);
+    CPPUNIT_TEST(pendingUpstreamIsCancelledAsSoonAsThePresentOneResumes);
+    CPPUNIT_TEST(callerThatLeavesEndsTheWaitForAPendingUpstream);
+    CPPUNIT_TEST(deadlineCancelsThePendingUpstream);
     CPPUNIT_TEST(streamIsNotMovedAfterItsDeadline);
-    CPPUNIT_TEST(everyUpstreamThatIsAskedIsPaidFor);
-    CPPUNIT_TEST(everyUpstreamThatMayHaveRunItCounts);
-    CPPUNIT_TEST(refusalOfTheAskedUpstreamIsRemembered);
-    CPPUNIT_TEST(askedUpstreamThatStandsStillIsLeftToo);
-    CPPUNIT_TEST(oneAttemptIsOneUpstream);
-    CPPUNIT_TEST(nextUpstreamIsAskedOnlyAfterAWhile);
-    CPPUNIT_TEST(askedUpstreamIsCancelledWhenTheAnswerEnds);
-    CPPUNIT_TEST(eventThatCrossesTheMoveIsPassedOnOnce);
-    CPPUNIT_TEST(callerWhoLeavesCancelsTheUpstreamThatTookTheStream);
-    CPPUNIT_TEST(wholeStreamIsNotLeftWhileItsEndIsWritten);
-    CPPUNIT_TEST(refusalIsNotLeftWhileItIsWritten);
-    CPPUNIT_TEST(nothingOutlivesAStreamThatFailsAtItsHead);
-    CPPUNIT_TEST(nothingOutlivesAStreamThatFailsWhileItWaits);
-    CPPUNIT_TEST(nothingOutlivesAStreamThatFailsBetweenItsEvents);
-    CPPUNIT_TEST(nothingOutlivesAStreamThatFailsWhileItIsPassedOn);
-    CPPUNIT_TEST(nothingOutlivesAStreamThatFailsWhileAnotherUpstreamIsAsked);
-    CPPUNIT_TEST(streamGoesOnIfAskingAnotherUpstreamFails);
-    CPPUNIT_TEST(upstreamThatWasAskedInVainIsReleasedAtOnce);
-    CPPUNIT_TEST(streamThatWaitsForAnotherUpstreamIsToldOfItsFailure);
+    CPPUNIT_TEST(everyAttemptUsesTheRetryBudget);
+    CPPUNIT_TEST(everyUpstreamThatMayHaveRunTheRequestCounts);
+    CPPUNIT_TEST(refusalByThePendingUpstreamRaisesASuspicion);
+    CPPUNIT_TEST(pendingUpstreamThatStallsIsReplaced);
+    CPPUNIT_TEST(routeWithOneAttemptUsesOneUpstream);
+    CPPUNIT_TEST(nextUpstreamIsAskedOnlyAfterTheRetryDelay);
+    CPPUNIT_TEST(pendingUpstreamIsCancelledWhenTheAnswerEnds);
+    CPPUNIT_TEST(eventThatArrivesDuringTheMoveIsForwardedOnce);
+    CPPUNIT_TEST(callerThatLeavesCancelsTheUpstreamThatAcceptedTheStream);
+    CPPUNIT_TEST(completeStreamIsNotMovedWhileItsEndIsWritten);
+    CPPUNIT_TEST(refusalIsNotRetriedWhileItIsWritten);
+    CPPUNIT_TEST(nothingOutlivesAStreamThatThrowsAtItsHead);
+    CPPUNIT_TEST(nothingOutlivesAStreamThatThrowsWhileItWaits);
+    CPPUNIT_TEST(nothingOutlivesAStreamThatThrowsBetweenItsEvents);
+    CPPUNIT_TEST(nothingOutlivesAStreamThatThrowsWhileItIsForwarded);
+    CPPUNIT_TEST(nothingOutlivesAStreamThatThrowsWhileAnotherUpstreamIsPending);
+    CPPUNIT_TEST(streamContinuesIfThePendingUpstreamThrows);
+    CPPUNIT_TEST(slotOfAFailedPendingUpstreamIsFreedAtOnce);
+    CPPUNIT_TEST(streamThatWaitsForAPendingUpstreamEndsIfThatThrows);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // What users saw: a stream was closed in the middle of its answer though its caller had every
-    // event.
-    //
-    // Order of events: the upstream sent the last event; the end of its answer did not come, or not
-    // soon enough; the daemon asked a second upstream for what comes after that event; that one
-    // ended its answer at once, as there was nothing left; the daemon took an answer without an
-    // event for one that was cut short, had no attempt left, and closed the connection.
-    //
-    // Cause: whether a stream is whole was judged by the last answer alone, not by what the caller
-    // has.
-    //
-    // Evidence: the record of such a request shows both upstreams' runs ended well, the second one
-    // after 20 ms without an event, and the connection closed 2 ms later.
-    void streamWithNothingLeftEndsWell()
+    // Guards against aborting a stream whose caller has every event. The first upstream sent the
+    // last event, but the end of its answer was late or missing. The second one, asked for the
+    // events after that, ended its answer at once (after 20 ms), as there were none. The daemon
+    // judged completeness by this last answer alone, took it for a truncated one, and with no
+    // attempt left closed the connection 2 ms later.
+    void streamWithNoEventsLeftIsCompleted()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2) }));
@@ -178,7 +171,7 @@
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
     }
 
-    void callerWhoHasEveryEventGetsAnEnd()
+    void resumeAfterTheLastEventIsCompleted()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, {}));
@@ -189,7 +182,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void answerWithoutAnyEventIsNotWhole()
+    void answerWithoutAnyEventIsIncomplete()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, {}));
@@ -200,20 +193,21 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    // An upstream that ends before it sends anything closes its connection as well.
-    void restWithoutEventOrLengthIsNotWhole()
+    // An upstream that crashes before it sends anything also closes its connection, so an answer
+    // that ends with the connection proves nothing.
+    void resumedAnswerWithoutEventOrLengthIsIncomplete()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2) }));
-        ScriptedAnswer rest = answer(200, {});
-        rest.endsWithConnection = true;
-        harness.client.expect(secondServer, rest);
+        ScriptedAnswer resumed = answer(200, {});
+        resumed.endsWithConnection = true;
+        harness.client.expect(secondServer, resumed);
         const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(!exchange->finished);
         CPPUNIT_ASSERT(exchange->aborted);
     }
 
-    void restThatBreaksOffIsNotWhole()
+    void truncatedResumedAnswerIsIncomplete()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2) }));
@@ -223,18 +217,11 @@
         CPPUNIT_ASSERT(exchange->aborted);
     }
 
-    // What users saw: a stream that had begun was closed in its middle, at a calm time, while its
-    // upstream was at work.
-    //
-    // Order of events: the upstream paused for longer than it should; the daemon cancelled the
-    // stream there to go on elsewhere; all other upstreams that it asked were full; it had nothing
-    // left and closed the connection.
-    //
-    // Cause: a place was given up before another one was sure.
-    //
-    // Evidence: the record of such a request shows the first upstream's run cut, three refusals
-    // within 20 ms after it, and the connection closed after the third.
-    void stillStreamIsKeptUntilAnotherUpstreamTakesIt()
+    // Guards against aborting a stream whose upstream still works on it. The upstream paused for
+    // longer than the stall timeout, and the daemon cancelled the stream there before another
+    // upstream had accepted it. All others were full: three refusals within 20 ms, after which the
+    // daemon closed the connection.
+    void stalledStreamIsKeptUntilAnotherUpstreamAcceptsIt()
     {
         DispatchHarness harness;
         harness.addReplica("c3", thirdServer, 3);
@@ -249,7 +236,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), harness.client.sent().size());
     }
 
-    void streamThatMovesAgainStaysWhereItIs()
+    void streamThatResumesStaysWithItsUpstream()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
@@ -264,7 +251,7 @@
         assertNothingInFlight(harness);
     }
 
-    void stillStreamGoesOnWhereItIsTaken()
+    void stalledStreamMovesToTheAcceptingUpstream()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 9));
@@ -277,7 +264,7 @@
         assertNothingInFlight(harness);
     }
 
-    void callerWhoLeavesCancelsBothUpstreams()
+    void callerThatLeavesCancelsBothUpstreams()
     {
         DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
@@ -291,12 +278,12 @@
         assertNothingInFlight(harness);
     }
 
-    // The first upstream breaks off while the second one has not answered yet: its answer counts,
-    // so that the two attempts which are allowed are enough.
-    void upstreamThatIsAskedAlreadyGoesOnAfterABreak()
+    // The first upstream breaks off while the second one has not answered yet. The pending attempt
+    // continues the stream, so the two allowed attempts suffice.
+    void pendingUpstreamContinuesABrokenStream()
     {
         DispatchHarness harness;
-        changeRoute(harness, neverTimesOut);
+        changeRoute(harness, setLongTimeout);
         bool brokeOff = false;
         ScriptedAnswer first = pausesAfterFirstEvent(harness, 2);
         first.pieces.pop_back();
@@ -307,7 +294,9 @@
         };
         harness.client.expect(firstServer, first);
         ScriptedAnswer second = answer(200, { event(2) });
-        second.startsWhen = [&brokeOff, turns = 0]() mutable { return brokeOff && ++turns > 10; };
+        second.startsWhen = [&brokeOff, iterations = 0]() mutable {
+            return brokeOff && ++iterations > 10;
+        };
         harness.client.expect(secondServer, second);
         const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
@@ -316,16 +305,17 @@
         assertNothingInFlight(harness);
     }
 
-    // Of two attempts that are allowed, an upstream uses one, whether its head has come or not.
-    void upstreamThatOnlySentItsHeadIsLeftToo()
+    // An upstream uses one of the two allowed attempts, whether its response head has arrived or
+    // not.
+    void upstreamThatStallsAfterItsHeadIsReplaced()
     {
         DispatchHarness harness;
         ScriptedAnswer onlyHead = pausesAfterFirstEvent(harness, 9);
         onlyHead.holdAfter = 0;
-        onlyHead.goesOnWhen = [pause = onlyHead.goesOnWhen, turns = 0]() mutable {
-            constexpr int patience =
-                100'000; // Turns of the loop; ends the test if nobody is asked.
-            return pause() || ++turns > patience;
+        onlyHead.goesOnWhen = [pause = onlyHead.goesOnWhen, iterations = 0]() mutable {
+            // Ends the test if no other upstream is asked.
+            constexpr int maxLoopIterations = 100'000;
+            return pause() || ++iterations > maxLoopIterations;
         };
         harness.client.expect(firstServer, onlyHead);
         harness.client.expect(secondServer, answer(200, { event(1) }));
@@ -334,7 +324,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    void askedUpstreamIsCancelledAsSoonAsThePresentOneGoesOn()
+    void pendingUpstreamIsCancelledAsSoonAsThePresentOneResumes()
     {
         DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
@@ -347,8 +337,9 @@
         CPPUNIT_ASSERT((cancelled == std::vector<int> { 0, 1 }));
     }
 
-    // ... also if it goes on with its end; the caller may be slow to take that.
-    void askedUpstreamIsCancelledWhenTheAnswerEnds()
+    // The present upstream resumes with the end of its answer. The other one must be cancelled
+    // before that is written, as the caller may be slow to accept it.
+    void pendingUpstreamIsCancelledWhenTheAnswerEnds()
     {
         DispatchHarness harness;
         ScriptedAnswer first = pausesAfterFirstEvent(harness, 2);
@@ -363,16 +354,16 @@
         assertNothingInFlight(harness);
     }
 
-    void callerWhoLeavesEndsTheWaitForAnotherUpstream()
+    void callerThatLeavesEndsTheWaitForAPendingUpstream()
     {
         DispatchHarness harness;
-        changeRoute(harness, neverTimesOut);
+        changeRoute(harness, setLongTimeout);
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
         harness.client.expect(firstServer, pausesAndBreaksOff(harness, { event(1) }));
         ScriptedAnswer never = neverAnswers();
-        never.startsWhen = [&exchange, turns = 0]() mutable {
-            constexpr int leavesAfter = 100; // The first one has broken off by then.
-            if (++turns == leavesAfter)
+        never.startsWhen = [&exchange, iterations = 0]() mutable {
+            constexpr int leavesAfter = 100; // The first upstream has broken off by then.
+            if (++iterations == leavesAfter)
                 exchange.leave();
             return false;
         };
@@ -382,7 +373,7 @@
         assertNothingInFlight(harness);
     }
 
-    void deadlineEndsTheAskingOfAnotherUpstream()
+    void deadlineCancelsThePendingUpstream()
     {
         DispatchHarness harness;
         ScriptedAnswer first = pausesAndBreaksOff(harness, { event(1) });
@@ -413,22 +404,22 @@
         assertNothingInFlight(harness);
     }
 
-    // Whatever becomes of the upstream that was asked, the next one is paid for anew.
-    void everyUpstreamThatIsAskedIsPaidFor()
+    // Each further upstream uses the retry budget, whatever the outcome at the one before.
+    void everyAttemptUsesTheRetryBudget()
     {
         const ScriptedAnswer noConnection = failedCall(ScriptedAnswer::Start::NoConnection);
         for (const ScriptedAnswer &second :
              { notExecutedAnswer(), noConnection, truncatedAnswer({ event(2) }), neverAnswers() }) {
             DispatchHarness harness;
             changeRoute(harness, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 3; });
-            harness.state.budgetOptions = { 0, 2, std::chrono::seconds(10) }; // One repeat.
+            harness.state.budgetOptions = { 0, 2, std::chrono::seconds(10) }; // Allows one retry.
             addLastReplica(harness);
             assertOnlyTwoAreAsked(harness, second);
         }
     }
 
-    // Of two attempts that are allowed, the upstream that was asked has used the second.
-    void everyUpstreamThatMayHaveRunItCounts()
+    // An upstream that may have run the request uses up the second of the two allowed attempts.
+    void everyUpstreamThatMayHaveRunTheRequestCounts()
     {
         const ScriptedAnswer noAnswer = failedCall(ScriptedAnswer::Start::NoAnswer);
         for (const ScriptedAnswer &second : { noAnswer, answer(500, { "" }), neverAnswers() }) {
@@ -438,7 +429,7 @@
         }
     }
 
-    void refusalOfTheAskedUpstreamIsRemembered()
+    void refusalByThePendingUpstreamRaisesASuspicion()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
@@ -449,17 +440,18 @@
         CPPUNIT_ASSERT(std::count(suspected.begin(), suspected.end(), ReplicaId("c2")) == 1);
     }
 
-    // Neither the present upstream nor the one that is asked says anything: a third may take it.
-    void askedUpstreamThatStandsStillIsLeftToo()
+    // Neither the present upstream nor the one that was asked sends anything: a third may take
+    // over.
+    void pendingUpstreamThatStallsIsReplaced()
     {
         DispatchHarness harness;
         changeRoute(harness, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 3; });
         addLastReplica(harness);
         ScriptedAnswer first = pausesAfterFirstEvent(harness, 9);
         first.goesOnWhen = [&harness, steps = 0]() mutable {
-            constexpr int patience = 1000; // Of 5 ms: longer than two upstreams may stand still.
+            constexpr int maxSteps = 1000; // Of 5 ms: longer than two stall timeouts.
             harness.clock.advance(std::chrono::milliseconds(5));
-            return ++steps > patience;
+            return ++steps > maxSteps;
         };
         harness.client.expect(firstServer, first);
         harness.client.expect(secondServer, neverAnswers());
@@ -473,15 +465,15 @@
         assertNothingInFlight(harness);
     }
 
-    // Also while nothing is known of it: it may have run the request.
-    void oneAttemptIsOneUpstream()
+    // An upstream that has not answered yet uses the attempt too: it may have run the request.
+    void routeWithOneAttemptUsesOneUpstream()
     {
         DispatchHarness harness;
         changeRoute(harness, [](RouteEntry &chatRoute) { chatRoute.maxAttempts = 1; });
         ScriptedAnswer slow = pausesAfterFirstEvent(harness, 2);
-        slow.startsWhen = [pause = slow.goesOnWhen, turns = 0]() mutable {
-            constexpr int patience = 10'000; // Turns of the loop.
-            return pause() || ++turns > patience;
+        slow.startsWhen = [pause = slow.goesOnWhen, iterations = 0]() mutable {
+            constexpr int maxLoopIterations = 10'000;
+            return pause() || ++iterations > maxLoopIterations;
         };
         slow.goesOnWhen = {};
         harness.client.expect(firstServer, slow);
@@ -491,16 +483,16 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void nextUpstreamIsAskedOnlyAfterAWhile()
+    void nextUpstreamIsAskedOnlyAfterTheRetryDelay()
     {
         DispatchHarness harness;
         harness.addReplica("c3", thirdServer, 3);
         harness.rebuild();
         ScriptedAnswer first = pausesAfterFirstEvent(harness, 3);
         harness.dispatchOptions.retryAfter = std::chrono::hours(1);
-        first.goesOnWhen = [pause = first.goesOnWhen, turns = 0]() mutable {
-            constexpr int patience = 10'000; // Turns of the loop.
-            return pause() || ++turns > patience;
+        first.goesOnWhen = [pause = first.goesOnWhen, iterations = 0]() mutable {
+            constexpr int maxLoopIterations = 10'000;
+            return pause() || ++iterations > maxLoopIterations;
         };
         harness.client.expect(firstServer, first);
         for (const Endpoint &full : { secondServer, thirdServer })
@@ -510,20 +502,20 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    // The first upstream goes on in the same moment in which the second one takes the stream.
-    void eventThatCrossesTheMoveIsPassedOnOnce()
+    // The first upstream resumes at the moment at which the second one accepts the stream.
+    void eventThatArrivesDuringTheMoveIsForwardedOnce()
     {
         DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
-        serveCrossing(harness, exchange, answer(200, { event(2), event(3) }));
+        serveWithLateData(harness, exchange, answer(200, { event(2), event(3) }));
         CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "1");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange.response.body);
         CPPUNIT_ASSERT(exchange.finished);
         assertNothingInFlight(harness);
     }
 
-    // ... and the caller, who is slow to take that, leaves.
-    void callerWhoLeavesCancelsTheUpstreamThatTookTheStream()
+    // The caller leaves during the write of an event that arrived during the move.
+    void callerThatLeavesCancelsTheUpstreamThatAcceptedTheStream()
     {
         DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
@@ -534,13 +526,13 @@
             exchange.leave();
             cancelled = harness.client.cancelled();
         };
-        serveCrossing(harness, exchange, answer(200, { event(2), event(3) }));
-        CPPUNIT_ASSERT_EQUAL(1, cancelled); // At once, not when the write has ended.
+        serveWithLateData(harness, exchange, answer(200, { event(2), event(3) }));
+        CPPUNIT_ASSERT_EQUAL(1, cancelled); // At once, not after the write.
         assertNothingInFlight(harness);
     }
 
-    // The upstream has nothing more to do; only the caller is waited for.
-    void wholeStreamIsNotLeftWhileItsEndIsWritten()
+    // The upstream is done and only the caller is slow, which must not count as a stall.
+    void completeStreamIsNotMovedWhileItsEndIsWritten()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
@@ -551,7 +543,7 @@
         CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
-    void refusalIsNotLeftWhileItIsWritten()
+    void refusalIsNotRetriedWhileItIsWritten()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(400, { "no" }));
@@ -562,59 +554,58 @@
         CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
-    // Users saw a daemon end by a segmentation fault with streams open on it. One way there: each
-    // stream has watchers, coroutines of their own that refer to it and ask a flag whether it is
-    // over; the flag was set only at the regular end of an attempt. If anything was thrown before
-    // that (a header that is too large, memory that ran out), the stream was gone, its connection
-    // too, and the watchers went on with freed memory some 60 ms later. Evidence: the address
-    // sanitizer's heap-use-after-free in a watcher's first look, in the stack of the connection's
-    // coroutine, which had been freed. The upstream's place in the accounts shows it without a
-    // sanitizer, as it is closed where the watchers are told; and no coroutine may be left.
-    void nothingOutlivesAStreamThatFailsAtItsHead()
+    // Guards against a use after free that crashed a daemon with open streams. Each stream has
+    // watchers, coroutines that refer to it and check a flag for its end. The flag was set only at
+    // the regular end of an attempt. If an exception (a header that is too large, no memory) ended
+    // the stream before that, the watchers used the freed stack of the connection's coroutine some
+    // 60 ms later. Without a sanitizer, the upstream's in-flight count shows the fault, because it
+    // is decreased where the watchers are stopped; nor may any coroutine be left.
+    void nothingOutlivesAStreamThatThrowsAtItsHead()
     {
         DispatchHarness harness;
         harness.codec.onDecodeAnswer = fail;
         harness.client.expect(firstServer, answer(200, { event(1) }));
-        const Aftermath after = serveFailing(harness);
-        assertNothingIsLeft(harness, after);
-        CPPUNIT_ASSERT_EQUAL(502, after.caller->response.status); // It was sent.
+        const RequestRemains remains = serveAndCollectRemains(harness);
+        assertNothingIsLeft(harness, remains);
+        CPPUNIT_ASSERT_EQUAL(502, remains.caller->response.status); // The request was sent.
     }
 
-    void nothingOutlivesAStreamThatFailsWhileItWaits()
+    void nothingOutlivesAStreamThatThrowsWhileItWaits()
     {
         DispatchHarness harness;
         ScriptedAnswer waits = answer(200, { event(1) });
         waits.startsWhen = []() -> bool { throw std::length_error("a test's failure"); };
         harness.client.expect(firstServer, waits);
-        const Aftermath after = serveFailing(harness);
-        assertNothingIsLeft(harness, after);
-        CPPUNIT_ASSERT_EQUAL(502, after.caller->response.status);
+        const RequestRemains remains = serveAndCollectRemains(harness);
+        assertNothingIsLeft(harness, remains);
+        CPPUNIT_ASSERT_EQUAL(502, remains.caller->response.status);
     }
 
-    void nothingOutlivesAStreamThatFailsBetweenItsEvents()
+    void nothingOutlivesAStreamThatThrowsBetweenItsEvents()
     {
         DispatchHarness harness;
         ScriptedAnswer breaks = answer(200, { event(1), event(2) });
         breaks.holdAfter = 1;
         breaks.goesOnWhen = []() -> bool { throw std::length_error("a test's failure"); };
         harness.client.expect(firstServer, breaks);
-        const Aftermath after = serveFailing(harness);
-        assertNothingIsLeft(harness, after);
-        CPPUNIT_ASSERT(after.caller->aborted); // It has a part: the answer must not look whole.
+        const RequestRemains remains = serveAndCollectRemains(harness);
+        assertNothingIsLeft(harness, remains);
+        // The caller has received a part, which must not look complete.
+        CPPUNIT_ASSERT(remains.caller->aborted);
     }
 
-    void nothingOutlivesAStreamThatFailsWhileItIsPassedOn()
+    void nothingOutlivesAStreamThatThrowsWhileItIsForwarded()
     {
         DispatchHarness harness;
         harness.client.expect(firstServer, answer(200, { event(1) }));
-        const Aftermath after =
-            serveFailing(harness, [](RecordedExchange &caller) { caller.onWrite = fail; });
-        assertNothingIsLeft(harness, after);
-        CPPUNIT_ASSERT(after.caller->aborted);
+        const RequestRemains remains = serveAndCollectRemains(
+            harness, [](RecordedExchange &caller) { caller.onWrite = fail; });
+        assertNothingIsLeft(harness, remains);
+        CPPUNIT_ASSERT(remains.caller->aborted);
     }
 
-    // The present upstream fails by an exception while the other one has not answered.
-    void nothingOutlivesAStreamThatFailsWhileAnotherUpstreamIsAsked()
+    // Reading from the present upstream throws while the other one has not answered.
+    void nothingOutlivesAStreamThatThrowsWhileAnotherUpstreamIsPending()
     {
         DispatchHarness harness;
         ScriptedAnswer pauses = pausesAfterFirstEvent(harness, 2);
@@ -626,14 +617,14 @@
         };
         harness.client.expect(firstServer, pauses);
         harness.client.expect(secondServer, neverAnswers());
-        const Aftermath after = serveFailing(harness);
-        assertNothingIsLeft(harness, after);
-        CPPUNIT_ASSERT(after.caller->aborted);
+        const RequestRemains remains = serveAndCollectRemains(harness);
+        assertNothingIsLeft(harness, remains);
+        CPPUNIT_ASSERT(remains.caller->aborted);
     }
 
-    // The answer of the other upstream can't be taken in: the present one keeps the stream, and its
-    // end isn't kept waiting by the one that was asked.
-    void streamGoesOnIfAskingAnotherUpstreamFails()
+    // Decoding the other upstream's response head throws: the present one keeps the stream, and its
+    // end does not wait for the other.
+    void streamContinuesIfThePendingUpstreamThrows()
     {
         DispatchHarness harness;
         harness.codec.onDecodeAnswer = [heads = std::make_shared<int>(0)] {
@@ -642,16 +633,16 @@
         };
         harness.client.expect(firstServer, pausesAfterFirstEvent(harness, 2));
         harness.client.expect(secondServer, answer(200, { event(2) }));
-        const Aftermath after = serveFailing(harness);
-        assertNothingIsLeft(harness, after);
-        CPPUNIT_ASSERT(after.caller->finished);
-        CPPUNIT_ASSERT_EQUAL(event(1) + event(2), after.caller->response.body);
+        const RequestRemains remains = serveAndCollectRemains(harness);
+        assertNothingIsLeft(harness, remains);
+        CPPUNIT_ASSERT(remains.caller->finished);
+        CPPUNIT_ASSERT_EQUAL(event(1) + event(2), remains.caller->response.body);
     }
 
-    // While the stream goes on, the upstream that was asked in vain has a place free for others.
-    void upstreamThatWasAskedInVainIsReleasedAtOnce()
+    // An upstream that was asked in vain must have its slot free again while the stream continues.
+    void slotOfAFailedPendingUpstreamIsFreedAtOnce()
     {
-        constexpr int turnsUntilItGoesOn = 20;
+        constexpr int iterationsUntilItResumes = 20;
         DispatchHarness harness;
         bool failed = false;
         harness.codec.onDecodeAnswer = [&failed, heads = 0]() mutable {
@@ -660,26 +651,29 @@
                 fail();
         };
         ScriptedAnswer first = pausesAfterFirstEvent(harness, 2);
-        first.goesOnWhen = [inner = first.goesOnWhen, &failed, turns = 0]() mutable {
+        first.goesOnWhen = [inner = first.goesOnWhen, &failed, iterations = 0]() mutable {
             inner();
-            turns += failed ? 1 : 0;
-            return turns > turnsUntilItGoesOn;
+            iterations += failed ? 1 : 0;
+            return iterations > iterationsUntilItResumes;
         };
         harness.client.expect(firstServer, first);
         harness.client.expect(secondServer, answer(200, { event(2) }));
-        int underWay = -1; // At the second one, as the last event is written.
-        const Aftermath after = serveFailing(harness, [&](RecordedExchange &caller) {
-            caller.onWrite = [&] { underWay = harness.state.targets.inFlight(HostId("c2")); };
-        });
-        CPPUNIT_ASSERT(after.caller->finished);
-        CPPUNIT_ASSERT_EQUAL(0, underWay);
+        int inFlightAtSecond = -1; // At the second upstream, as the last event is written.
+        const RequestRemains remains =
+            serveAndCollectRemains(harness, [&](RecordedExchange &caller) {
+                caller.onWrite = [&] {
+                    inFlightAtSecond = harness.state.targets.inFlight(HostId("c2"));
+                };
+            });
+        CPPUNIT_ASSERT(remains.caller->finished);
+        CPPUNIT_ASSERT_EQUAL(0, inFlightAtSecond);
     }
 
-    // The present upstream has broken off, and the request waits for what the other one says. That
-    // can't be taken in: the request ends then, not at its deadline.
-    void streamThatWaitsForAnotherUpstreamIsToldOfItsFailure()
+    // The present upstream has broken off and the request waits for the other one, whose response
+    // head fails to decode. The request must end then, not at its deadline.
+    void streamThatWaitsForAPendingUpstreamEndsIfThatThrows()
     {
-        constexpr int manyTurns = 20'000;
+        constexpr int maxLoopIterations = 20'000;
         DispatchHarness harness;
         bool brokenOff = false;
         ScriptedAnswer first = pausesAndBreaksOff(harness, { event(1) });
@@ -705,77 +699,79 @@
             dispatcher.handle(caller, yield);
             served = true;
         });
-        for (int turn = 0; turn < manyTurns && !served; ++turn)
+        for (int iteration = 0; iteration < maxLoopIterations && !served; ++iteration)
             io.poll_one();
         CPPUNIT_ASSERT(served);
-        CPPUNIT_ASSERT(caller.aborted); // It has a part: the answer must not look whole.
+        // The caller has received a part, which must not look complete.
+        CPPUNIT_ASSERT(caller.aborted);
         CPPUNIT_ASSERT_EQUAL(event(1), caller.response.body);
     }
 
 private:
     static void fail() { throw std::length_error("a test's failure"); }
 
-    // What is there after a request, and some turns of the loop later.
-    struct Aftermath
+    // The state after a request, and after further iterations of the event loop.
+    struct RequestRemains
     {
         std::shared_ptr<RecordedExchange> caller;
         bool leftByException = false;
-        int inFlight = 0; // At the end of the request.
-        int coroutines = 0; // After the turns, the test's own left out.
+        int inFlight = 0; // At both servers, at the end of the request.
+        int coroutines = 0; // Left after the iterations, without the test's own.
     };
 
-    static Aftermath serveFailing(DispatchHarness &harness,
-                                  const std::function<void(RecordedExchange &)> &prepare = {})
+    static RequestRemains
+    serveAndCollectRemains(DispatchHarness &harness,
+                           const std::function<void(RecordedExchange &)> &prepare = {})
     {
         harness.checkForStallsContinuously();
-        Aftermath after;
-        after.caller =
+        RequestRemains remains;
+        remains.caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/x", {}, "body" });
         if (prepare)
-            prepare(*after.caller);
+            prepare(*remains.caller);
         const int before = processMarks().coroutines;
         IoContext io(1);
         Dispatcher dispatcher(io, harness.clock, harness.dispatchOptions, harness.codec,
                               harness.upstreams, harness.probe, harness.trials, harness.state,
                               harness.log, harness.metrics);
-        // In a coroutine of its own, as of a connection: its stack is freed with the request.
+        // In its own coroutine, like a connection, so that its stack is freed with the request.
         spawnCoroutine(io, [&](Yield yield) {
             try {
-                dispatcher.handle(*after.caller, yield);
+                dispatcher.handle(*remains.caller, yield);
             } catch (const std::exception &) {
-                after.leftByException = true;
+                remains.leftByException = true;
             }
             for (const char *host : { "c1", "c2" })
-                after.inFlight += harness.state.targets.inFlight(HostId(host));
+                remains.inFlight += harness.state.targets.inFlight(HostId(host));
             io.stop();
         });
         io.run();
-        // A watcher of a request that isn't over would go on with what is gone.
-        if (after.inFlight > 0)
-            return after;
+        // Watchers of a request that wasn't closed would use freed memory.
+        if (remains.inFlight > 0)
+            return remains;
         io.restart();
         runCoroutine(io, [&io](Yield yield) { runReadyHandlers(io, yield); });
-        after.coroutines = processMarks().coroutines - before;
-        return after;
+        remains.coroutines = processMarks().coroutines - before;
+        return remains;
     }
 
-    static void assertNothingIsLeft(const DispatchHarness &harness, const Aftermath &after)
+    static void assertNothingIsLeft(const DispatchHarness &harness, const RequestRemains &remains)
     {
-        CPPUNIT_ASSERT_EQUAL(0, after.inFlight);
-        CPPUNIT_ASSERT_EQUAL(0, after.coroutines);
+        CPPUNIT_ASSERT_EQUAL(0, remains.inFlight);
+        CPPUNIT_ASSERT_EQUAL(0, remains.coroutines);
         CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.streamsUnderWay(HostId("c1")));
-        CPPUNIT_ASSERT(!after.leftByException);
+        CPPUNIT_ASSERT(!remains.leftByException);
     }
 
-    // Two events of the first server; time goes by between them until the second one is asked.
-    static void serveCrossing(DispatchHarness &harness, RecordedExchange &exchange,
-                              const ScriptedAnswer &taken)
+    // The first server sends two events; time passes between them until the second server is asked.
+    static void serveWithLateData(DispatchHarness &harness, RecordedExchange &exchange,
+                                  const ScriptedAnswer &acceptedAnswer)
     {
         harness.checkForStallsContinuously();
         harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        harness.client.expect(secondServer, taken);
+        harness.client.expect(secondServer, acceptedAnswer);
         IoContext io(1);
-        CrossingClient client(io, harness.client);
+        LateDataClient client(io, harness.client);
         bool served = false;
         spawnCoroutine(io, [&](Yield yield) {
             while (!served) {
@@ -793,29 +789,29 @@
         });
     }
 
-    static std::shared_ptr<CallerSlowAtTheEnd>
-    serveSlowCaller(DispatchHarness &harness, const std::function<void()> &atTheEnd = {})
+    static std::shared_ptr<CallerSlowToFinish>
+    serveSlowCaller(DispatchHarness &harness, const std::function<void()> &onFinish = {})
     {
-        std::shared_ptr<CallerSlowAtTheEnd> caller;
+        std::shared_ptr<CallerSlowToFinish> caller;
         harness.serve(
             [&](IoContext &io) {
-                caller = std::make_shared<CallerSlowAtTheEnd>(io, harness.clock);
-                caller->atTheEnd = atTheEnd;
+                caller = std::make_shared<CallerSlowToFinish>(io, harness.clock);
+                caller->onFinish = onFinish;
                 return caller;
             },
             harness.client);
         return caller;
     }
 
-    // One event, then a pause until `sends` requests have been sent in all. Time goes by in small
-    // steps: a long one would be a pause of the daemon's own.
+    // Sends one event, then pauses until `sends` requests have been sent in total. Time advances in
+    // small steps: a long one would count as a pause of the daemon's own process.
     static ScriptedAnswer pausesAfterFirstEvent(DispatchHarness &harness, std::size_t sends)
     {
         harness.checkForStallsContinuously();
         ScriptedAnswer script = answer(200, { event(1), event(2) });
         script.holdAfter = 1;
         script.goesOnWhen = [&harness, sends, steps = 0]() mutable {
-            constexpr int stepsOfPause = 300; // Of 5 ms: longer than any pause that is allowed.
+            constexpr int stepsOfPause = 300; // Of 5 ms: longer than any stall timeout.
             if (++steps <= stepsOfPause)
                 harness.clock.advance(std::chrono::milliseconds(5));
             return harness.client.sent().size() >= sends;
@@ -823,7 +819,7 @@
         return script;
     }
 
-    // The same, but what follows the pause breaks off.
+    // Like pausesAfterFirstEvent, but the answer breaks off after `pieces`.
     static ScriptedAnswer pausesAndBreaksOff(DispatchHarness &harness,
                                              std::vector<std::string> pieces)
     {
@@ -848,10 +844,13 @@
         harness.state.catalog = std::make_shared<const ServiceCatalog>(changed);
     }
 
-    // So that only a wake-up ends a wait before the test is given up.
-    static void neverTimesOut(RouteEntry &chatRoute) { chatRoute.timeout = std::chrono::hours(24); }
+    // A timeout longer than the test, so that only a notification can end a wait.
+    static void setLongTimeout(RouteEntry &chatRoute)
+    {
+        chatRoute.timeout = std::chrono::hours(24);
+    }
 
-    // One that is asked after the two others.
+    // Adds a replica that is chosen after the two others.
     static void addLastReplica(DispatchHarness &harness)
     {
         harness.addReplica("c3", thirdServer, 3);
@@ -860,8 +859,8 @@
             harness.state.targets.failed(HostId("c3"), harness.clock.now());
     }
 
-    // The first upstream pauses and breaks off, and the second one is of no use: the third one,
-    // which could end the stream, is not asked.
+    // Checks that the third upstream, which could complete the stream, is not asked after the first
+    // one pauses and breaks off and the second one fails as scripted.
     static void assertOnlyTwoAreAsked(DispatchHarness &harness, const ScriptedAnswer &second)
     {
         harness.client.expect(firstServer, pausesAndBreaksOff(harness, { event(1), event(2) }));
