--- a/ramphinge/dispatch/dispatch_test.cpp
+++ b/ramphinge/dispatch/dispatch_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the request path: admission, events, choice of a place, and whole requests against
-// scripted upstreams.
+// Tests of the request path: admission, event parsing, choice of a target, demand, stalls, and
+// complete requests against scripted upstreams.
 
 #include <stdexcept>
 
@@ -14,11 +14,11 @@
 
 namespace {
 
-// Passes calls on; `beforeRead` is called before each piece of an answer is read.
-class WatchedClient : public HttpClient
+// Forwards calls to another client, and calls `beforeRead` before each read of an answer.
+class ReadHookClient : public HttpClient
 {
 public:
-    explicit WatchedClient(HttpClient &inner) : m_inner(inner) { }
+    explicit ReadHookClient(HttpClient &inner) : m_inner(inner) { }
 
     std::unique_ptr<HttpCall> call(const Endpoint &endpoint, const HttpRequest &request,
                                    HttpCallOptions options) override
@@ -35,7 +35,7 @@
     class Call : public HttpCall
     {
     public:
-        Call(WatchedClient &client, std::unique_ptr<HttpCall> inner)
+        Call(ReadHookClient &client, std::unique_ptr<HttpCall> inner)
             : m_client(client), m_inner(std::move(inner))
         { }
 
@@ -55,27 +55,27 @@
         void cancel() override { m_inner->cancel(); }
 
     private:
-        WatchedClient &m_client;
+        ReadHookClient &m_client;
         std::unique_ptr<HttpCall> m_inner;
     };
 
     HttpClient &m_inner;
 };
 
-// A caller who reads nothing for longer than any pause that is allowed, and then everything.
-class SlowCaller : public RecordedExchange
+// A caller that reads nothing for longer than any stall timeout, and then everything.
+class CallerSlowToRead : public RecordedExchange
 {
 public:
-    SlowCaller(IoContext &io, ManualClock &clock)
+    CallerSlowToRead(IoContext &io, ManualClock &clock)
         : RecordedExchange({ "POST", "/chat/x", {}, "body" }), m_io(io), m_clock(clock)
     { }
 
     Status write(std::string_view piece, Yield yield) override
     {
-        for (int i = 0; i < 60;
-             ++i) { // In small steps: a long one would be the daemon's own pause.
+        // In small steps: a long one would count as a pause of the daemon's own process.
+        for (int i = 0; i < 60; ++i) {
             m_clock.advance(std::chrono::milliseconds(50));
-            giveTurns(m_io, yield);
+            runReadyHandlers(m_io, yield);
         }
         return RecordedExchange::write(piece, yield);
     }
@@ -95,64 +95,64 @@
 class DispatchTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DispatchTest);
-    CPPUNIT_TEST(answerGoesThroughUnchanged);
+    CPPUNIT_TEST(answerIsForwardedUnchanged);
     CPPUNIT_TEST(unknownRoutesAndKeysAreRefused);
-    CPPUNIT_TEST(daemonWithoutCatalogSaysNotRunOnly);
-    CPPUNIT_TEST(staleDaemonRefusesEveryKey);
+    CPPUNIT_TEST(daemonWithoutCatalogRefusesEveryRequest);
+    CPPUNIT_TEST(staleDaemonRefusesRequestsThatNeedAKey);
     CPPUNIT_TEST(unreadableRequestIsRefused);
-    CPPUNIT_TEST(refusedRequestGoesToAnotherServer);
+    CPPUNIT_TEST(refusedRequestIsRetriedOnAnotherServer);
     CPPUNIT_TEST(idleConnectionsOfAllDaemonsFitTheServersLimit);
-    CPPUNIT_TEST(refusedEverywhereIsNotRunWithATimeToComeBack);
-    CPPUNIT_TEST(atMostOnceIsNotRepeatedAfterItMayHaveRun);
-    CPPUNIT_TEST(atMostOnceIsRepeatedIfItWasNeverSent);
-    CPPUNIT_TEST(idempotentIsRepeatedAfterAServerError);
-    CPPUNIT_TEST(lastServerErrorIsTheAnswer);
-    CPPUNIT_TEST(answerThatIsNotTheServersOwnIsNoSuccess);
+    CPPUNIT_TEST(requestRefusedByAllServersGetsRetryAfter);
+    CPPUNIT_TEST(atMostOnceIsNotRetriedAfterItMayHaveRun);
+    CPPUNIT_TEST(atMostOnceIsRetriedIfItWasNeverSent);
+    CPPUNIT_TEST(idempotentIsRetriedAfterAServerError);
+    CPPUNIT_TEST(lastServerErrorIsForwarded);
+    CPPUNIT_TEST(unauthenticAnswerIsNoSuccess);
     CPPUNIT_TEST(attemptsAreBounded);
-    CPPUNIT_TEST(repeatsStayWithinTheBudget);
-    CPPUNIT_TEST(streamIsPassedOnEventByEvent);
-    CPPUNIT_TEST(brokenStreamGoesOnAfterItsLastWholeEvent);
-    CPPUNIT_TEST(streamThatCantGoOnNeverLooksWhole);
-    CPPUNIT_TEST(streamEndingInsideAnEventIsNotWhole);
-    CPPUNIT_TEST(missingEventIsNotPassedOver);
-    CPPUNIT_TEST(streamThatMayNotBeResumedIsNot);
-    CPPUNIT_TEST(callerWhoLeavesCancelsTheWork);
-    CPPUNIT_TEST(eventsAreCutAtAnyPlace);
-    CPPUNIT_TEST(placeThatStandsStillIsLeftOut);
-    CPPUNIT_TEST(usualPausesTellWhenAPlaceStandsStill);
-    CPPUNIT_TEST(avoidedPlaceIsStillBetterThanNone);
-    CPPUNIT_TEST(replicaOutsideThePlanGetsNothing);
-    CPPUNIT_TEST(demandFollowsWhatIsAsked);
-    CPPUNIT_TEST(demandOfAllDaemonsIsKnownSoon);
+    CPPUNIT_TEST(retriesStayWithinTheBudget);
+    CPPUNIT_TEST(streamIsForwardedEventByEvent);
+    CPPUNIT_TEST(brokenStreamIsResumedAfterItsLastCompleteEvent);
+    CPPUNIT_TEST(streamThatCannotBeResumedIsAborted);
+    CPPUNIT_TEST(streamEndingInsideAnEventIsIncomplete);
+    CPPUNIT_TEST(missingEventIsFetchedFromAnotherUpstream);
+    CPPUNIT_TEST(streamOfANonResumableRouteIsNotResumed);
+    CPPUNIT_TEST(callerThatLeavesCancelsTheUpstreamCall);
+    CPPUNIT_TEST(eventsAreParsedForAnyChunking);
+    CPPUNIT_TEST(stalledTargetIsNotChosen);
+    CPPUNIT_TEST(stallTimeoutFollowsUsualProgressIntervals);
+    CPPUNIT_TEST(avoidedTargetIsChosenIfNoOtherIsLeft);
+    CPPUNIT_TEST(replicaOutsideThePlanGetsNoRequests);
+    CPPUNIT_TEST(demandFollowsTheRequestedWork);
+    CPPUNIT_TEST(demandIncludesOtherDaemonsReports);
     CPPUNIT_TEST(busyServersFollowTheWork);
-    CPPUNIT_TEST(busyReplicaIsNotLeftStillOneIs);
-    CPPUNIT_TEST(streamIsNotLeftWhileItsCallerIsSlow);
-    CPPUNIT_TEST(ownPauseIsNoSilenceOfTheUpstream);
-    CPPUNIT_TEST(silenceIsNoticedAfterAPauseToo);
-    CPPUNIT_TEST(placesThatAllSeemStillShareTheRequests);
-    CPPUNIT_TEST(newReplicaIsNotJudgedByItsHeadsLastOne);
-    CPPUNIT_TEST(changedBudgetHoldsForServicesInUse);
-    CPPUNIT_TEST(newBudgetCountsTheDaemonsWhoseRegistrationsLapsed);
-    CPPUNIT_TEST(connectionsToServersThatLeftInTwoStepsAreDropped);
-    CPPUNIT_TEST(placeThatLeftIsNotRememberedAnew);
+    CPPUNIT_TEST(stalledReplicaIsDistinguishedFromBusyOne);
+    CPPUNIT_TEST(slowCallerIsNoStallOfTheUpstream);
+    CPPUNIT_TEST(pauseOfTheDaemonIsNoStallOfTheUpstream);
+    CPPUNIT_TEST(stallAfterAPauseOfTheDaemonIsDetected);
+    CPPUNIT_TEST(requestsAreSpreadIfAllTargetsSeemStalled);
+    CPPUNIT_TEST(newReplicaDoesNotInheritStatsOfItsHeadsOldReplica);
+    CPPUNIT_TEST(changedBudgetAppliesToServicesInUse);
+    CPPUNIT_TEST(newBudgetCountsDaemonsWithLapsedRegistrations);
+    CPPUNIT_TEST(connectionsAreClosedOnceLeavingServersAreGone);
+    CPPUNIT_TEST(failuresAfterATargetLeftCreateNoStats);
     CPPUNIT_TEST(requestThatCannotBeSentIsAnswered);
-    CPPUNIT_TEST(requestThatCannotBeReadInIsAnswered);
-    CPPUNIT_TEST(failureBeforeTheSendingPromisesThatNothingHasRun);
-    CPPUNIT_TEST(failureOfTheSendingClosesTheAccountsOfItsUpstream);
-    CPPUNIT_TEST(failureAfterTheSendingSaysThatItMayHaveRun);
+    CPPUNIT_TEST(requestThatCannotBeDecodedIsAnswered);
+    CPPUNIT_TEST(exceptionBeforeSendingIsAnsweredAsNotExecuted);
+    CPPUNIT_TEST(exceptionWhileSendingLeavesNothingInFlight);
+    CPPUNIT_TEST(exceptionAfterSendingIsAnsweredAsPossiblyExecuted);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void answerGoesThroughUnchanged()
+    void answerIsForwardedUnchanged()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { "he", "llo" }));
-        const auto exchange = bench.serve("/safe/x?q=1");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { "he", "llo" }));
+        const auto exchange = harness.serve("/safe/x?q=1");
         CPPUNIT_ASSERT_EQUAL(200, exchange->response.status);
         CPPUNIT_ASSERT_EQUAL(std::string("hello"), exchange->response.body);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        const HttpRequest &sent = bench.client.sent()[0].request;
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        const HttpRequest &sent = harness.client.sent()[0].request;
         CPPUNIT_ASSERT_EQUAL(std::string("/safe/x?q=1"), sent.target);
         CPPUNIT_ASSERT_EQUAL(std::string("body"), sent.body);
         CPPUNIT_ASSERT(sent.headers.find("expect") == "a1");
@@ -160,237 +160,238 @@
 
     void unknownRoutesAndKeysAreRefused()
     {
-        Bench bench;
-        CPPUNIT_ASSERT_EQUAL(404, bench.serve("/nowhere")->response.status);
-        CPPUNIT_ASSERT_EQUAL(401, bench.serve("/private/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(401, bench.serve("/private/x", { { "key", "no" } })->response.status);
-        bench.client.expect(firstServer, answer(200, { "ok" }));
+        DispatchHarness harness;
+        CPPUNIT_ASSERT_EQUAL(404, harness.serve("/nowhere")->response.status);
+        CPPUNIT_ASSERT_EQUAL(401, harness.serve("/private/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(401,
+                             harness.serve("/private/x", { { "key", "no" } })->response.status);
+        harness.client.expect(firstServer, answer(200, { "ok" }));
         CPPUNIT_ASSERT_EQUAL(200,
-                             bench.serve("/private/x", { { "key", "secret" } })->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+                             harness.serve("/private/x", { { "key", "secret" } })->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void daemonWithoutCatalogSaysNotRunOnly()
+    void daemonWithoutCatalogRefusesEveryRequest()
     {
-        Bench bench;
-        bench.state.catalog = nullptr;
-        const auto exchange = bench.serve("/safe/x");
+        DispatchHarness harness;
+        harness.state.catalog = nullptr;
+        const auto exchange = harness.serve("/safe/x");
         CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
-    void staleDaemonRefusesEveryKey()
+    void staleDaemonRefusesRequestsThatNeedAKey()
     {
-        Bench bench;
-        bench.clock.advance(std::chrono::seconds(5));
-        // A known key may have been taken away, an unknown one may be new.
+        DispatchHarness harness;
+        harness.clock.advance(std::chrono::seconds(5));
+        // A known key may have been revoked, and an unknown one may be new.
         for (const char *key : { "secret", "unknown" }) {
-            const auto exchange = bench.serve("/private/x", { { "key", key } });
+            const auto exchange = harness.serve("/private/x", { { "key", key } });
             CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
             CPPUNIT_ASSERT(hasRetryAfter(*exchange));
         }
-        CPPUNIT_ASSERT(bench.client.sent().empty());
-        bench.client.expect(firstServer, answer(200, { "ok" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/safe/x")->response.status);
+        CPPUNIT_ASSERT(harness.client.sent().empty());
+        harness.client.expect(firstServer, answer(200, { "ok" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/x")->response.status);
     }
 
     void unreadableRequestIsRefused()
     {
-        Bench bench;
-        CPPUNIT_ASSERT_EQUAL(400, bench.serve("/safe/x", { { "bad", "1" } })->response.status);
+        DispatchHarness harness;
+        CPPUNIT_ASSERT_EQUAL(400, harness.serve("/safe/x", { { "bad", "1" } })->response.status);
     }
 
     void idleConnectionsOfAllDaemonsFitTheServersLimit()
     {
-        Bench bench;
+        DispatchHarness harness;
         CatalogContent limited = content();
         limited.services[0].connectionLimit = 600;
-        bench.state.catalog = std::make_shared<const ServiceCatalog>(limited);
-        bench.state.noteDaemons(300);
-        bench.client.expect(firstServer, answer(200, { "x" }));
-        bench.serve("/safe/1");
-        CPPUNIT_ASSERT_EQUAL(2, bench.client.sent().at(0).options.maxIdleConnections);
+        harness.state.catalog = std::make_shared<const ServiceCatalog>(limited);
+        harness.state.noteDaemons(300);
+        harness.client.expect(firstServer, answer(200, { "x" }));
+        harness.serve("/safe/1");
+        CPPUNIT_ASSERT_EQUAL(2, harness.client.sent().at(0).options.maxIdleConnections);
     }
 
-    void refusedRequestGoesToAnotherServer()
+    void refusedRequestIsRetriedOnAnotherServer()
     {
         for (const char *path : { "/once/x", "/safe/x" }) {
-            Bench bench;
-            bench.client.expect(firstServer, notRun());
-            bench.client.expect(secondServer, answer(200, { "ok" }));
-            CPPUNIT_ASSERT_EQUAL(200, bench.serve(path)->response.status);
+            DispatchHarness harness;
+            harness.client.expect(firstServer, notExecutedAnswer());
+            harness.client.expect(secondServer, answer(200, { "ok" }));
+            CPPUNIT_ASSERT_EQUAL(200, harness.serve(path)->response.status);
         }
     }
 
-    void refusedEverywhereIsNotRunWithATimeToComeBack()
+    void requestRefusedByAllServersGetsRetryAfter()
     {
-        Bench bench;
-        bench.client.expect(firstServer, notRun());
-        bench.client.expect(secondServer, notRun());
-        const auto exchange = bench.serve("/once/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, notExecutedAnswer());
+        harness.client.expect(secondServer, notExecutedAnswer());
+        const auto exchange = harness.serve("/once/x");
         CPPUNIT_ASSERT_EQUAL(429, exchange->response.status);
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
-    void atMostOnceIsNotRepeatedAfterItMayHaveRun()
+    void atMostOnceIsNotRetriedAfterItMayHaveRun()
     {
-        Bench bench;
-        bench.client.expect(firstServer, fails(ScriptedAnswer::Start::NoAnswer));
-        const auto exchange = bench.serve("/once/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoAnswer));
+        const auto exchange = harness.serve("/once/x");
         CPPUNIT_ASSERT_EQUAL(502, exchange->response.status);
         CPPUNIT_ASSERT(!hasRetryAfter(*exchange));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        bench.client.expect(firstServer, breaksOff({ "hal" }));
-        bench.state.targets.succeeded(HostId("a1"), bench.clock.now());
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/once/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        harness.client.expect(firstServer, truncatedAnswer({ "hal" }));
+        harness.state.targets.succeeded(HostId("a1"), harness.clock.now());
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/once/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    void atMostOnceIsRepeatedIfItWasNeverSent()
+    void atMostOnceIsRetriedIfItWasNeverSent()
     {
-        Bench bench;
-        bench.client.expect(firstServer, fails(ScriptedAnswer::Start::NoConnection));
-        bench.client.expect(secondServer, answer(200, { "ok" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/once/x")->response.status);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoConnection));
+        harness.client.expect(secondServer, answer(200, { "ok" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/once/x")->response.status);
     }
 
-    void idempotentIsRepeatedAfterAServerError()
+    void idempotentIsRetriedAfterAServerError()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(500, { "oops" }));
-        bench.client.expect(secondServer, answer(200, { "ok" }));
-        CPPUNIT_ASSERT_EQUAL(200, bench.serve("/safe/x")->response.status);
-        bench.client.expect(firstServer, answer(500, { "oops" }));
-        bench.state.targets.succeeded(HostId("a1"), bench.clock.now());
-        CPPUNIT_ASSERT_EQUAL(500, bench.serve("/once/x")->response.status);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(500, { "oops" }));
+        harness.client.expect(secondServer, answer(200, { "ok" }));
+        CPPUNIT_ASSERT_EQUAL(200, harness.serve("/safe/x")->response.status);
+        harness.client.expect(firstServer, answer(500, { "oops" }));
+        harness.state.targets.succeeded(HostId("a1"), harness.clock.now());
+        CPPUNIT_ASSERT_EQUAL(500, harness.serve("/once/x")->response.status);
     }
 
-    void lastServerErrorIsTheAnswer()
+    void lastServerErrorIsForwarded()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(500, { "one" }));
-        bench.client.expect(secondServer, answer(500, { "two" }));
-        const auto exchange = bench.serve("/safe/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(500, { "one" }));
+        harness.client.expect(secondServer, answer(500, { "two" }));
+        const auto exchange = harness.serve("/safe/x");
         CPPUNIT_ASSERT_EQUAL(500, exchange->response.status);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), exchange->response.body);
     }
 
-    void answerThatIsNotTheServersOwnIsNoSuccess()
+    void unauthenticAnswerIsNoSuccess()
     {
         const HttpHeaders encoded { { "seal", "s" }, { "encoded", "gzip" } };
         for (const HttpHeaders &headers : { HttpHeaders(), encoded }) {
-            Bench bench;
-            bench.client.expect(firstServer, answer(200, { "??" }, headers));
-            bench.client.expect(secondServer, answer(200, { "ok" }));
-            CPPUNIT_ASSERT_EQUAL(std::string("ok"), bench.serve("/safe/x")->response.body);
-            Bench once;
-            once.client.expect(firstServer, answer(200, { "??" }, headers));
-            CPPUNIT_ASSERT_EQUAL(502, once.serve("/once/x")->response.status);
+            DispatchHarness harness;
+            harness.client.expect(firstServer, answer(200, { "??" }, headers));
+            harness.client.expect(secondServer, answer(200, { "ok" }));
+            CPPUNIT_ASSERT_EQUAL(std::string("ok"), harness.serve("/safe/x")->response.body);
+            DispatchHarness onceHarness;
+            onceHarness.client.expect(firstServer, answer(200, { "??" }, headers));
+            CPPUNIT_ASSERT_EQUAL(502, onceHarness.serve("/once/x")->response.status);
         }
     }
 
     void attemptsAreBounded()
     {
-        Bench bench;
-        bench.fleet.put(server("a3", app, { "10.0.0.3", 80 }));
-        bench.rebuild();
+        DispatchHarness harness;
+        harness.fleet.put(server("a3", app, { "10.0.0.3", 80 }));
+        harness.rebuild();
         for (const Endpoint &endpoint : { firstServer, secondServer, Endpoint { "10.0.0.3", 80 } })
-            bench.client.expect(endpoint, fails(ScriptedAnswer::Start::NoAnswer));
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/safe/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+            harness.client.expect(endpoint, failedCall(ScriptedAnswer::Start::NoAnswer));
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/safe/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    void repeatsStayWithinTheBudget()
+    void retriesStayWithinTheBudget()
     {
-        Bench bench;
-        bench.state.budgetOptions.slack = 0;
-        bench.client.expect(firstServer, fails(ScriptedAnswer::Start::NoAnswer));
-        CPPUNIT_ASSERT_EQUAL(502, bench.serve("/safe/x")->response.status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+        DispatchHarness harness;
+        harness.state.budgetOptions.slack = 0;
+        harness.client.expect(firstServer, failedCall(ScriptedAnswer::Start::NoAnswer));
+        CPPUNIT_ASSERT_EQUAL(502, harness.serve("/safe/x")->response.status);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void streamIsPassedOnEventByEvent()
+    void streamIsForwardedEventByEvent()
     {
-        Bench bench;
+        DispatchHarness harness;
         const std::string second = event(2);
-        bench.client.expect(
+        harness.client.expect(
             firstServer,
             answer(200, { event(1) + second.substr(0, 5), second.substr(5), event(3) }));
-        const auto exchange = bench.serve("/chat/x");
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
     }
 
-    void brokenStreamGoesOnAfterItsLastWholeEvent()
+    void brokenStreamIsResumedAfterItsLastCompleteEvent()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1), event(2).substr(0, 7) }));
-        ScriptedAnswer rest = answer(200, { event(2), event(3) }, { { "seal", "other" } });
-        bench.client.expect(secondServer, rest);
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1), event(2).substr(0, 7) }));
+        ScriptedAnswer resumed = answer(200, { event(2), event(3) }, { { "seal", "other" } });
+        harness.client.expect(secondServer, resumed);
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
         CPPUNIT_ASSERT(exchange->response.headers.find("seal") == "s");
-        CPPUNIT_ASSERT(bench.client.sent()[1].request.headers.find("after") == "1");
+        CPPUNIT_ASSERT(harness.client.sent()[1].request.headers.find("after") == "1");
     }
 
-    void streamThatCantGoOnNeverLooksWhole()
+    void streamThatCannotBeResumedIsAborted()
     {
-        Bench bench;
-        bench.client.expect(firstServer, breaksOff({ event(1) }));
-        bench.client.expect(secondServer, breaksOff({ event(2) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
+        harness.client.expect(secondServer, truncatedAnswer({ event(2) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(!exchange->finished);
         CPPUNIT_ASSERT(exchange->aborted);
     }
 
-    void streamEndingInsideAnEventIsNotWhole()
+    void streamEndingInsideAnEventIsIncomplete()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), "id: 2\nda" }));
-        bench.client.expect(secondServer, answer(200, { event(2) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), "id: 2\nda" }));
+        harness.client.expect(secondServer, answer(200, { event(2) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), exchange->response.body);
     }
 
-    void missingEventIsNotPassedOver()
+    void missingEventIsFetchedFromAnotherUpstream()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), event(3) }));
-        bench.client.expect(secondServer, answer(200, { event(1), event(2), event(3) }));
-        const auto exchange = bench.serve("/chat/x");
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), event(3) }));
+        harness.client.expect(secondServer, answer(200, { event(1), event(2), event(3) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), exchange->response.body);
         CPPUNIT_ASSERT(exchange->finished);
     }
 
-    void streamThatMayNotBeResumedIsNot()
+    void streamOfANonResumableRouteIsNotResumed()
     {
-        Bench bench;
+        DispatchHarness harness;
         CatalogContent changed = content();
         changed.routes[2].resumable = false;
-        bench.state.catalog = std::make_shared<const ServiceCatalog>(changed);
-        bench.client.expect(firstServer, breaksOff({ event(1) }));
-        const auto exchange = bench.serve("/chat/x");
+        harness.state.catalog = std::make_shared<const ServiceCatalog>(changed);
+        harness.client.expect(firstServer, truncatedAnswer({ event(1) }));
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT(exchange->aborted);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
     }
 
-    void callerWhoLeavesCancelsTheWork()
+    void callerThatLeavesCancelsTheUpstreamCall()
     {
-        Bench bench;
+        DispatchHarness harness;
         RecordedExchange exchange({ "POST", "/chat/x", {}, "" });
         exchange.onWrite = [&exchange] { exchange.leave(); };
-        bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        bench.serve(exchange);
-        CPPUNIT_ASSERT_EQUAL(1, bench.client.cancelled());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        CPPUNIT_ASSERT_EQUAL(0, bench.state.targets.inFlight(HostId("c1")));
+        harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+        harness.serve(exchange);
+        CPPUNIT_ASSERT_EQUAL(1, harness.client.cancelled());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId("c1")));
     }
 
-    void eventsAreCutAtAnyPlace()
+    void eventsAreParsedForAnyChunking()
     {
-        const bool sound = rc::check("any cut of a stream gives the same events", [] {
+        const bool passed = rc::check("any cut of a stream gives the same events", [] {
             std::string stream;
             for (int id = 1; id <= 5; ++id)
                 stream += event(id);
@@ -410,81 +411,82 @@
             RC_ASSERT(ids == (std::vector<std::string> { "1", "2", "3", "4", "5" }));
             RC_ASSERT(reader.rest() == 0U);
         });
-        CPPUNIT_ASSERT(sound);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void placeThatStandsStillIsLeftOut()
+    void stalledTargetIsNotChosen()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const HostId first("c1");
         targets.sent(first, Tokens(1));
-        targets.began(first, Tokens(1), Milliseconds(50), Milliseconds(50), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        targets.began(first, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == first);
-        bench.clock.advance(std::chrono::milliseconds(500));
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        harness.clock.advance(std::chrono::milliseconds(500));
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == HostId("c2"));
-        targets.progressed(first, bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        targets.progressed(first, harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == first);
     }
 
-    // A small model's streams bring something every 40 ms, a large one's that reads prompts every
-    // 290 ms: silence means more at the first. Events of one pass come close together.
-    void usualPausesTellWhenAPlaceStandsStill()
+    // Streams of a small model make progress every 40 ms, those of a large one that also prefills
+    // prompts every 290 ms, so the small one's stall timeout must be shorter. Events of one engine
+    // step arrive close together.
+    void stallTimeoutFollowsUsualProgressIntervals()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const HostId small("c1");
         const HostId large("c2");
-        CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(450)); // Nothing is known yet.
+        CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(450)); // The default.
         for (const HostId &host : { small, large }) {
             targets.sent(host, Tokens(1));
-            targets.began(host, Tokens(1), Milliseconds(50), Milliseconds(50), bench.clock.now());
+            targets.began(host, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
         }
         for (int at = 1; at <= 2900; ++at) {
-            bench.clock.advance(Milliseconds(1));
+            harness.clock.advance(Milliseconds(1));
             if (at % 40 <= 2)
-                targets.progressed(small, bench.clock.now());
+                targets.progressed(small, harness.clock.now());
             if (at % 290 <= 2)
-                targets.progressed(large, bench.clock.now());
+                targets.progressed(large, harness.clock.now());
         }
         CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(200));
         CPPUNIT_ASSERT(targets.standstillOf(large) == Milliseconds(450));
-        bench.clock.advance(Milliseconds(250));
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        harness.clock.advance(Milliseconds(250));
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == large);
     }
 
-    void avoidedPlaceIsStillBetterThanNone()
+    void avoidedTargetIsChosenIfNoOtherIsLeft()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
-        targets.avoid(HostId("a1"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, bench.clock.now())->host
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
+        targets.avoid(HostId("a1"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, harness.clock.now())->host
                        == HostId("a2"));
-        targets.avoid(HostId("a2"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, bench.clock.now()) != nullptr);
+        targets.avoid(HostId("a2"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ app, {}, {}, {} }, harness.clock.now()) != nullptr);
         CPPUNIT_ASSERT(
-            targets.choose({ app, {}, {}, { HostId("a1"), HostId("a2") } }, bench.clock.now())
+            targets.choose({ app, {}, {}, { HostId("a1"), HostId("a2") } }, harness.clock.now())
             == nullptr);
     }
 
-    void replicaOutsideThePlanGetsNothing()
+    void replicaOutsideThePlanGetsNoRequests()
     {
-        Bench bench;
-        bench.plan.replicas[0].phase = ReplicaPhase::Broken;
-        bench.plan.replicas[1].epoch = Epoch(9); // The head is still of an older forming.
-        bench.rebuild();
-        CPPUNIT_ASSERT(bench.state.targets.choose({ chat, model, {}, {} }, bench.clock.now())
+        DispatchHarness harness;
+        harness.plan.replicas[0].phase = ReplicaPhase::Broken;
+        harness.plan.replicas[1].epoch = Epoch(9); // The head still belongs to an older epoch.
+        harness.rebuild();
+        CPPUNIT_ASSERT(harness.state.targets.choose({ chat, model, {}, {} }, harness.clock.now())
                        == nullptr);
-        const auto exchange = bench.serve("/chat/x");
+        const auto exchange = harness.serve("/chat/x");
         CPPUNIT_ASSERT_EQUAL(503, exchange->response.status);
         CPPUNIT_ASSERT(hasRetryAfter(*exchange));
     }
 
-    void demandFollowsWhatIsAsked()
+    void demandFollowsTheRequestedWork()
     {
         ManualClock clock;
         EngineProfile engine;
@@ -495,16 +497,16 @@
         for (int i = 0; i < 2000; ++i)
             meter.add(engine, ModelId(i % 2 == 0 ? "a" : "b"), Tokens(100), Tokens(10),
                       clock.now());
-        // As many requests, each of four servers' time.
+        // Equal request counts, but each request to "a" takes the time of four servers.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, meter.shareOf(engine, ModelId("a"), clock.now()), 0.02);
         clock.advance(std::chrono::minutes(5));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, meter.shareOf(engine, ModelId("a"), clock.now()), 0.01);
     }
 
-    // Seventy daemons, the mix of whose requests turns at once. One of them alone gets the smaller
-    // kind every third second; before it knew what the others get, it had hardly noticed after the
-    // time of a load.
-    void demandOfAllDaemonsIsKnownSoon()
+    // Guards against a planner that learns of a changed request mix too late: of 70 daemons, one
+    // alone gets a request of the rarer kind every third second. From its own requests it had
+    // hardly noticed the change after the time of one weight load.
+    void demandIncludesOtherDaemonsReports()
     {
         ManualClock clock;
         EngineProfile engine;
@@ -512,25 +514,25 @@
         const ModelId small("small");
         engine.models.push_back({ large, 16, 0.5, 1, {}, {} });
         engine.models.push_back({ small, 4, 0.5, 1, {}, {} });
-        const auto play = [&](int largePerSecond, int smallPerSecond, DemandMeter &meter) {
+        const auto addRequests = [&](int largePerSecond, int smallPerSecond, DemandMeter &meter) {
             for (int i = 0; i < largePerSecond + smallPerSecond; ++i)
                 meter.add(engine, i < largePerSecond ? large : small, Tokens(1000), Tokens(200),
                           clock.now());
         };
         DemandMeter planner(std::chrono::seconds(6));
-        DemandMeter rest(std::chrono::seconds(6)); // The sum over the others.
-        const auto turnFor = [&](int seconds, int largePerSecond, int smallPerSecond) {
+        DemandMeter othersMeter(std::chrono::seconds(6)); // Sum over the other daemons.
+        const auto shareAfter = [&](int seconds, int largePerSecond, int smallPerSecond) {
             for (int i = 0; i < seconds; ++i) {
                 clock.advance(std::chrono::seconds(1));
-                play(largePerSecond, smallPerSecond, rest);
-                planner.setOthers(rest.own(clock.now()), clock.now());
+                addRequests(largePerSecond, smallPerSecond, othersMeter);
+                planner.setOthers(othersMeter.own(clock.now()), clock.now());
             }
             return planner.shareOf(engine, large, clock.now());
         };
-        // Of all servers' time: 40 requests of 16 servers against 420 of 4.
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.276, turnFor(20, 40, 420), 0.02);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.656, turnFor(16, 100, 210), 0.09);
-        planner.setOthers({}, clock.now()); // Their word is gone.
+        // Shares of all server time: 40 requests to 16 servers each against 420 to 4 each.
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.276, shareAfter(20, 40, 420), 0.02);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.656, shareAfter(16, 100, 210), 0.09);
+        planner.setOthers({}, clock.now()); // The other daemons' reports have expired.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, planner.shareOf(engine, large, clock.now()), 1e-9);
     }
 
@@ -557,25 +559,27 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(servers, idle.busyServers(engine, servers, 9, clock.now()),
                                      1e-9);
         DemandMeter light(std::chrono::seconds(6));
-        const double once = busyAfter(light, 200, 1);
+        const double serversBusyAt200 = busyAfter(light, 200, 1);
         DemandMeter heavier(std::chrono::seconds(6));
-        const double twice = busyAfter(heavier, 400, 1);
-        CPPUNIT_ASSERT(once < twice && twice < servers);
-        // One of two daemons, as long as nothing is known of the other; then the other counts.
-        DemandMeter half(std::chrono::seconds(6));
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(twice, busyAfter(half, 200, 2), 0.1 * twice);
-        half.setOthers(half.own(clock.now()), clock.now());
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(twice, half.busyServers(engine, servers, 2, clock.now()),
-                                     0.1 * twice);
-        // 200 requests a second keep `once` servers busy, of which a replica has four.
+        const double serversBusyAt400 = busyAfter(heavier, 400, 1);
+        CPPUNIT_ASSERT(serversBusyAt200 < serversBusyAt400 && serversBusyAt400 < servers);
+        // One of two daemons: it doubles its own work until the other one's work is known.
+        DemandMeter meterOfOneDaemon(std::chrono::seconds(6));
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(serversBusyAt400, busyAfter(meterOfOneDaemon, 200, 2),
+                                     0.1 * serversBusyAt400);
+        meterOfOneDaemon.setOthers(meterOfOneDaemon.own(clock.now()), clock.now());
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(serversBusyAt400,
+                                     meterOfOneDaemon.busyServers(engine, servers, 2, clock.now()),
+                                     0.1 * serversBusyAt400);
+        // 200 requests per second keep `serversBusyAt200` servers busy; a replica has four servers.
         const double rate = light.rateOfReplica(engine, model, clock.now())->perSecond();
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(200 * 4 / once, rate, 0.15 * rate);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(200 * 4 / serversBusyAt200, rate, 0.15 * rate);
         CPPUNIT_ASSERT(!idle.rateOfReplica(engine, model, clock.now()));
         DemandMeter flooded(std::chrono::seconds(6));
         CPPUNIT_ASSERT(busyAfter(flooded, 5000, 1) <= servers);
     }
 
-    void busyReplicaIsNotLeftStillOneIs()
+    void stalledReplicaIsDistinguishedFromBusyOne()
     {
         const StallOptions options;
         StreamObservation stream;
@@ -583,14 +587,14 @@
         stream.objective = std::chrono::milliseconds(300);
         stream.pauseObjective = std::chrono::milliseconds(200);
         stream.standstill = std::chrono::milliseconds(450);
-        // Not begun: others of the replica tell.
+        // Not begun: other streams of the replica show whether it makes progress.
         stream.othersUnderWay = true;
         stream.waited = std::chrono::seconds(3);
         stream.quiet = std::chrono::milliseconds(80);
         CPPUNIT_ASSERT(!standsStill(stream, options));
         stream.quiet = std::chrono::milliseconds(500);
         CPPUNIT_ASSERT(standsStill(stream, options));
-        // Nobody to tell: the prediction and the objective do.
+        // No other streams: the prediction and the objective decide.
         stream.othersUnderWay = false;
         stream.waited = std::chrono::milliseconds(299);
         CPPUNIT_ASSERT(!standsStill(stream, options));
@@ -598,9 +602,9 @@
         CPPUNIT_ASSERT(standsStill(stream, options));
         stream.expected = std::chrono::milliseconds(400);
         CPPUNIT_ASSERT(!standsStill(stream, options));
-        // Begun: a pause of its own, longer if the replica serves others.
+        // Begun: its own event gap decides; a longer one is allowed if other streams make progress.
         stream.begun = true;
-        // Not for a short silence: it might find no other place.
+        // A short gap is no stall: the stream might find no other target.
         stream.waited = std::chrono::milliseconds(599);
         CPPUNIT_ASSERT(!standsStill(stream, options));
         stream.waited = std::chrono::milliseconds(601);
@@ -612,289 +616,294 @@
         CPPUNIT_ASSERT(standsStill(stream, options));
     }
 
-    // What the upstream sent waits until the caller has read: that is not the upstream's silence.
-    void streamIsNotLeftWhileItsCallerIsSlow()
+    // Data from the upstream waits while the caller doesn't read; that must not count as a stall of
+    // the upstream.
+    void slowCallerIsNoStallOfTheUpstream()
     {
-        Bench bench;
+        DispatchHarness harness;
         ScriptedAnswer first = answer(200, { event(1), event(2) });
-        first.holdAfter = 1; // The look comes after the caller has read, and before the next event.
-        first.goesOnWhen = [turns = 0]() mutable { return ++turns > 100; };
-        bench.client.expect(firstServer, first);
-        bench.client.expect(secondServer, answer(200, { event(2) }));
-        std::shared_ptr<SlowCaller> caller;
-        bench.serve(
-            [&](IoContext &io) { return caller = std::make_shared<SlowCaller>(io, bench.clock); },
-            bench.client);
+        first.holdAfter = 1; // Stall checks run after the caller's read, before the next event.
+        first.goesOnWhen = [iterations = 0]() mutable { return ++iterations > 100; };
+        harness.client.expect(firstServer, first);
+        harness.client.expect(secondServer, answer(200, { event(2) }));
+        std::shared_ptr<CallerSlowToRead> caller;
+        harness.serve(
+            [&](IoContext &io) {
+                return caller = std::make_shared<CallerSlowToRead>(io, harness.clock);
+            },
+            harness.client);
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
         CPPUNIT_ASSERT(caller->finished);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-        CPPUNIT_ASSERT(bench.state.suspicions.take().empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+        CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
     }
 
-    // After a pause of the whole process its timers may come before the bytes that arrived
-    // meanwhile.
-    void ownPauseIsNoSilenceOfTheUpstream()
+    // After a pause of the whole process its timers may fire before the bytes that arrived during
+    // the pause are read; that must not count as a stall of the upstream.
+    void pauseOfTheDaemonIsNoStallOfTheUpstream()
     {
         for (const int pausedRead : { 1, 2 }) {
-            Bench bench;
-            bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-            bench.client.expect(secondServer, answer(200, { event(2) }));
-            const auto caller = serveWithTurns(bench, [&](IoContext &io, int read, Yield yield) {
-                giveTurns(io, yield);
-                if (read == pausedRead)
-                    bench.clock.advance(std::chrono::seconds(3));
-                giveTurns(io, yield);
-            });
+            DispatchHarness harness;
+            harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+            harness.client.expect(secondServer, answer(200, { event(2) }));
+            const auto caller =
+                serveWithReadHook(harness, [&](IoContext &io, int read, Yield yield) {
+                    runReadyHandlers(io, yield);
+                    if (read == pausedRead)
+                        harness.clock.advance(std::chrono::seconds(3));
+                    runReadyHandlers(io, yield);
+                });
             CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
             CPPUNIT_ASSERT(caller->finished);
-            CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.client.sent().size());
-            CPPUNIT_ASSERT(bench.state.suspicions.take().empty());
+            CPPUNIT_ASSERT_EQUAL(std::size_t(1), harness.client.sent().size());
+            CPPUNIT_ASSERT(harness.state.suspicions.take().empty());
         }
     }
 
-    // Time that goes by while the daemon looks on is the upstream's own.
-    void silenceIsNoticedAfterAPauseToo()
+    // Time that passes while the daemon runs counts as the upstream's silence.
+    void stallAfterAPauseOfTheDaemonIsDetected()
     {
-        Bench bench;
-        bench.client.expect(firstServer, answer(200, { event(1), event(2) }));
-        bench.client.expect(secondServer, answer(200, { event(2) }));
-        const auto caller = serveWithTurns(bench, [&](IoContext &io, int read, Yield yield) {
-            giveTurns(io, yield);
+        DispatchHarness harness;
+        harness.client.expect(firstServer, answer(200, { event(1), event(2) }));
+        harness.client.expect(secondServer, answer(200, { event(2) }));
+        const auto caller = serveWithReadHook(harness, [&](IoContext &io, int read, Yield yield) {
+            runReadyHandlers(io, yield);
             if (read != 2)
                 return;
-            bench.clock.advance(std::chrono::seconds(3));
-            giveTurns(io, yield);
+            harness.clock.advance(std::chrono::seconds(3));
+            runReadyHandlers(io, yield);
             for (int i = 0; i < 40; ++i) {
-                bench.clock.advance(std::chrono::milliseconds(50));
-                giveTurns(io, yield);
+                harness.clock.advance(std::chrono::milliseconds(50));
+                runReadyHandlers(io, yield);
             }
         });
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2), caller->response.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), bench.client.sent().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), harness.client.sent().size());
     }
 
-    // After a pause of the daemon's own all places seem to stand still, as long as their bytes are
-    // not read: what was asked meanwhile must not all go to one.
-    void placesThatAllSeemStillShareTheRequests()
+    // After a pause of the daemon's process all targets seem stalled until their bytes are read.
+    // The requests that arrived during the pause must not all go to one target.
+    void requestsAreSpreadIfAllTargetsSeemStalled()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const Tokens prompt(1);
         for (const char *host : { "c1", "c2" }) {
-            targets.succeeded(HostId(host), bench.clock.now());
+            targets.succeeded(HostId(host), harness.clock.now());
             targets.sent(HostId(host), prompt);
             targets.began(HostId(host), prompt, Milliseconds(50), Milliseconds(50),
-                          bench.clock.now());
+                          harness.clock.now());
         }
-        bench.clock.advance(std::chrono::seconds(3));
+        harness.clock.advance(std::chrono::seconds(3));
         std::map<HostId, int> chosen;
         for (int i = 0; i < 40; ++i) {
             const HostId host =
-                targets.choose({ chat, model, prompt, {} }, bench.clock.now())->host;
+                targets.choose({ chat, model, prompt, {} }, harness.clock.now())->host;
             targets.sent(host, prompt);
             ++chosen[host];
         }
         CPPUNIT_ASSERT(chosen[HostId("c1")] >= 10);
         CPPUNIT_ASSERT(chosen[HostId("c2")] >= 10);
-        // One that was not reachable comes after one that only seems still.
-        targets.avoid(HostId("c1"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, prompt, {} }, bench.clock.now())->host
+        // A target that was unreachable is chosen after one that only seems stalled.
+        targets.avoid(HostId("c1"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, prompt, {} }, harness.clock.now())->host
                        == HostId("c2"));
     }
 
-    // Servers take no requests for a while before they are gone: they say that they leave, or their
-    // replica breaks. Their addresses may be another's next.
-    // The last request to a server that left may fail after it has ended there. What was noted of
-    // it then stayed for good, some hundred bytes for each server that ever left so.
-    void placeThatLeftIsNotRememberedAnew()
+    // Guards against a memory leak: the last request to a server may fail after the server has left
+    // the fleet. Recording that failure created statistics anew that were never removed, some
+    // hundred bytes for each such server.
+    void failuresAfterATargetLeftCreateNoStats()
     {
-        Bench bench;
+        DispatchHarness harness;
         const HostId host("a1");
-        TargetTable &targets = bench.state.targets;
+        TargetTable &targets = harness.state.targets;
         targets.sent(host, Tokens(0));
-        bench.fleet.remove(incarnationOf(host).name, bench.clock.now());
-        bench.rebuild();
+        harness.fleet.remove(incarnationOf(host).name, harness.clock.now());
+        harness.rebuild();
         targets.ended(host, Tokens(0), false);
-        targets.failed(host, bench.clock.now());
-        targets.avoid(host, bench.clock.now());
-        targets.succeeded(host, bench.clock.now());
-        targets.progressed(host, bench.clock.now());
+        targets.failed(host, harness.clock.now());
+        targets.avoid(host, harness.clock.now());
+        targets.succeeded(host, harness.clock.now());
+        targets.progressed(host, harness.clock.now());
         CPPUNIT_ASSERT(!targets.remembers(host));
     }
 
-    void connectionsToServersThatLeftInTwoStepsAreDropped()
+    // Servers accept no requests for a while before they leave the fleet: they announce that they
+    // are leaving, or their replica breaks. Another server may get their address next, so their
+    // connections must be closed when they are gone.
+    void connectionsAreClosedOnceLeavingServersAreGone()
     {
-        Bench bench;
+        DispatchHarness harness;
         const HostId plain("a3");
         const HostId head("c3");
         const Endpoint plainServer { "10.0.0.3", 80 };
         const Endpoint headServer { "10.0.0.4", 80 };
-        bench.fleet.put(server(plain.text(), app, plainServer));
-        bench.addReplica(head.text(), headServer, 3);
-        bench.rebuild();
+        harness.fleet.put(server(plain.text(), app, plainServer));
+        harness.addReplica(head.text(), headServer, 3);
+        harness.rebuild();
         UpstreamServer leaving = server(plain.text(), app, plainServer);
         leaving.draining = true;
-        bench.fleet.put(leaving);
-        bench.plan.replicas.back().phase = ReplicaPhase::Broken;
-        bench.rebuild();
-        CPPUNIT_ASSERT(bench.state.targets.takeDropped().empty()); // They may be at work.
+        harness.fleet.put(leaving);
+        harness.plan.replicas.back().phase = ReplicaPhase::Broken;
+        harness.rebuild();
+        // Servers that are leaving may still serve requests.
+        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
         for (const HostId &host : { plain, head })
-            bench.fleet.remove(incarnationOf(host).name, bench.clock.now());
-        bench.rebuild();
-        const std::vector<Endpoint> dropped = bench.state.targets.takeDropped();
+            harness.fleet.remove(incarnationOf(host).name, harness.clock.now());
+        harness.rebuild();
+        const std::vector<Endpoint> dropped = harness.state.targets.takeDropped();
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), dropped.size());
         CPPUNIT_ASSERT(std::count(dropped.begin(), dropped.end(), plainServer) == 1);
         CPPUNIT_ASSERT(std::count(dropped.begin(), dropped.end(), headServer) == 1);
-        bench.rebuild();
-        CPPUNIT_ASSERT(bench.state.targets.takeDropped().empty());
+        harness.rebuild();
+        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
     }
 
-    // Registrations lapse while the store is away, and the daemons are still there: also for the
-    // budget of a service that is asked for the first time then.
-    void newBudgetCountsTheDaemonsWhoseRegistrationsLapsed()
+    // Registrations lapse while the store is unavailable, though the daemons still run. The retry
+    // budget of a service that gets its first request then must count those daemons too.
+    void newBudgetCountsDaemonsWithLapsedRegistrations()
     {
-        Bench bench;
-        bench.state.noteDaemons(9);
-        bench.state.noteDaemons(1);
-        SharedRetryBudget &budget = bench.state.budgetOf(chat);
-        int repeats = 0;
-        while (repeats < 20 && budget.take(bench.clock.now()))
-            ++repeats;
-        // Half of an even share of the slack of 20.
-        CPPUNIT_ASSERT_EQUAL(1, repeats);
+        DispatchHarness harness;
+        harness.state.noteDaemons(9);
+        harness.state.noteDaemons(1);
+        SharedRetryBudget &budget = harness.state.budgetOf(chat);
+        int retries = 0;
+        while (retries < 20 && budget.take(harness.clock.now()))
+            ++retries;
+        // Half of one daemon's even share of the slack of 20 retries.
+        CPPUNIT_ASSERT_EQUAL(1, retries);
     }
 
-    // The operators may change the budget's settings while the daemon runs.
-    void changedBudgetHoldsForServicesInUse()
+    // Operators may change the budget's settings while the daemon runs.
+    void changedBudgetAppliesToServicesInUse()
     {
-        Bench bench;
-        CPPUNIT_ASSERT(bench.state.budgetOf(chat).take(bench.clock.now()));
-        bench.state.budgetOptions = { 0, 0, std::chrono::seconds(10) };
-        CPPUNIT_ASSERT(!bench.state.budgetOf(chat).allows(bench.clock.now()));
-        // What was used before counts against the new bound.
-        bench.state.budgetOptions = { 0, 4, std::chrono::seconds(10) };
-        CPPUNIT_ASSERT(bench.state.budgetOf(chat).take(bench.clock.now()));
-        CPPUNIT_ASSERT(!bench.state.budgetOf(chat).allows(bench.clock.now()));
+        DispatchHarness harness;
+        CPPUNIT_ASSERT(harness.state.budgetOf(chat).take(harness.clock.now()));
+        harness.state.budgetOptions = { 0, 0, std::chrono::seconds(10) };
+        CPPUNIT_ASSERT(!harness.state.budgetOf(chat).allows(harness.clock.now()));
+        // Retries before the change count against the new limit.
+        harness.state.budgetOptions = { 0, 4, std::chrono::seconds(10) };
+        CPPUNIT_ASSERT(harness.state.budgetOf(chat).take(harness.clock.now()));
+        CPPUNIT_ASSERT(!harness.state.budgetOf(chat).allows(harness.clock.now()));
     }
 
-    // A daemon that was cut off from the store may find a server as the head of another replica
-    // than it was before, without having seen it between the two.
-    void newReplicaIsNotJudgedByItsHeadsLastOne()
+    // After a partition from the store a daemon may see a server as the head of another replica
+    // without having seen it leave the first one. Statistics of the old replica must not apply.
+    void newReplicaDoesNotInheritStatsOfItsHeadsOldReplica()
     {
-        Bench bench;
-        TargetTable &targets = bench.state.targets;
+        DispatchHarness harness;
+        TargetTable &targets = harness.state.targets;
         const HostId head("c1");
         targets.sent(head, Tokens(1));
-        targets.began(head, Tokens(1), Milliseconds(50), Milliseconds(50), bench.clock.now());
+        targets.began(head, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
         for (int i = 0; i < 50; ++i) {
-            bench.clock.advance(Milliseconds(40));
-            targets.progressed(head, bench.clock.now());
+            harness.clock.advance(Milliseconds(40));
+            targets.progressed(head, harness.clock.now());
         }
         CPPUNIT_ASSERT(targets.standstillOf(head) == Milliseconds(200));
         targets.ended(head, Tokens(1), true);
         for (int i = 0; i < 5; ++i) {
             targets.sent(head, Tokens(1));
-            targets.began(head, Tokens(1), Milliseconds(900), Milliseconds(50), bench.clock.now());
+            targets.began(head, Tokens(1), Milliseconds(900), Milliseconds(50),
+                          harness.clock.now());
             targets.ended(head, Tokens(1), true);
-            targets.failed(head, bench.clock.now());
+            targets.failed(head, harness.clock.now());
         }
         const auto expected = [&](const HostId &host) {
-            return targets.expectedTime(host, Tokens(1), bench.clock.now());
+            return targets.expectedTime(host, Tokens(1), harness.clock.now());
         };
         CPPUNIT_ASSERT(expected(head) > 2 * expected(HostId("c2")));
-        targets.avoid(head, bench.clock.now());
-        UpstreamServer server = *bench.fleet.find(head);
+        targets.avoid(head, harness.clock.now());
+        UpstreamServer server = *harness.fleet.find(head);
         server.membership->replica = ReplicaId("next");
         server.membership->epoch = Epoch(9);
-        bench.fleet.put(server);
-        bench.plan.replicas[0].replica = ReplicaId("next");
-        bench.plan.replicas[0].epoch = Epoch(9);
-        bench.rebuild();
+        harness.fleet.put(server);
+        harness.plan.replicas[0].replica = ReplicaId("next");
+        harness.plan.replicas[0].epoch = Epoch(9);
+        harness.rebuild();
         CPPUNIT_ASSERT(targets.standstillOf(head) == Milliseconds(450));
         CPPUNIT_ASSERT(expected(head) == expected(HostId("c2")));
         CPPUNIT_ASSERT(
-            targets.choose({ chat, model, Tokens(1), { HostId("c2") } }, bench.clock.now())->host
+            targets.choose({ chat, model, Tokens(1), { HostId("c2") } }, harness.clock.now())->host
             == head);
-        targets.failed(HostId("c2"), bench.clock.now());
-        targets.failed(HostId("c2"), bench.clock.now());
-        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, bench.clock.now())->host
+        targets.failed(HostId("c2"), harness.clock.now());
+        targets.failed(HostId("c2"), harness.clock.now());
+        CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == head);
     }
 
-    // What users saw: requests ended without an answer, their connections closed.
-    //
-    // Cause: whatever was thrown on a request's way ended the coroutine of its connection. A
-    // message that the HTTP library does not build is one such case: a field that it can't hold.
-    //
-    // Evidence: a line "ended_by_exception", and no answer.
+    // Guards against connections that close without an answer: an exception on the request path
+    // ended the connection's coroutine, with a log line "ended_by_exception". One way there is a
+    // header field that is too long for the HTTP library.
     void requestThatCannotBeSentIsAnswered()
     {
-        Bench bench;
+        DispatchHarness harness;
         constexpr std::size_t tooLong = 70'000;
         RecordedExchange caller(
             { "GET", "/safe/x", { { "Long", std::string(tooLong, 'x') } }, {} });
         IoContext io(1);
         runCoroutine(io, [&](Yield yield) {
             const auto client = HttpClient::create(io);
-            UpstreamClient upstreams = bench.upstreamsOver(*client);
-            Dispatcher dispatcher(io, bench.clock, {}, bench.codec, upstreams, bench.probe,
-                                  bench.trials, bench.state, bench.log, bench.metrics);
+            UpstreamClient upstreams = harness.upstreamsOver(*client);
+            Dispatcher dispatcher(io, harness.clock, {}, harness.codec, upstreams, harness.probe,
+                                  harness.trials, harness.state, harness.log, harness.metrics);
             dispatcher.handle(caller, yield);
         });
         CPPUNIT_ASSERT_EQUAL(503, caller.response.status);
-        assertNothingInFlight(bench);
+        assertNothingInFlight(harness);
     }
 
-    void requestThatCannotBeReadInIsAnswered()
+    void requestThatCannotBeDecodedIsAnswered()
     {
-        Bench bench;
-        bench.codec.onDecode = fail;
-        const auto caller = bench.serve("/once/x");
+        DispatchHarness harness;
+        harness.codec.onDecode = fail;
+        const auto caller = harness.serve("/once/x");
         CPPUNIT_ASSERT_EQUAL(503, caller->response.status);
         CPPUNIT_ASSERT(caller->response.headers.find("Retry-After"));
     }
 
-    void failureBeforeTheSendingPromisesThatNothingHasRun()
+    void exceptionBeforeSendingIsAnsweredAsNotExecuted()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
-            Bench bench;
-            bench.codec.onEncode = fail;
-            const auto caller = bench.serve(path);
+            DispatchHarness harness;
+            harness.codec.onEncode = fail;
+            const auto caller = harness.serve(path);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(path, 503, caller->response.status);
             CPPUNIT_ASSERT_MESSAGE(path, caller->response.headers.find("Retry-After"));
-            assertNothingInFlight(bench);
+            assertNothingInFlight(harness);
         }
     }
 
-    // Thrown by the call itself, before its first byte and after it.
-    void failureOfTheSendingClosesTheAccountsOfItsUpstream()
+    // The call itself throws, before and after its first byte is sent.
+    void exceptionWhileSendingLeavesNothingInFlight()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
             for (const bool isSent : { false, true }) {
-                Bench bench;
+                DispatchHarness harness;
                 ScriptedAnswer script = answer(200, { event(1) });
                 if (isSent)
                     script.startsWhen = throwFailure;
                 else
                     script.before = fail;
-                bench.client.expect(firstServer, script);
-                const auto caller = bench.serve(path);
+                harness.client.expect(firstServer, script);
+                const auto caller = harness.serve(path);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(path, isSent ? 502 : 503, caller->response.status);
-                assertNothingInFlight(bench);
+                assertNothingInFlight(harness);
             }
         }
     }
 
-    void failureAfterTheSendingSaysThatItMayHaveRun()
+    void exceptionAfterSendingIsAnsweredAsPossiblyExecuted()
     {
         for (const char *path : { "/safe/x", "/once/x", "/chat/x" }) {
-            Bench bench;
-            bench.codec.onDecodeAnswer = fail;
-            bench.client.expect(firstServer, answer(200, { event(1) }));
-            const auto caller = bench.serve(path);
+            DispatchHarness harness;
+            harness.codec.onDecodeAnswer = fail;
+            harness.client.expect(firstServer, answer(200, { event(1) }));
+            const auto caller = harness.serve(path);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(path, 502, caller->response.status);
             CPPUNIT_ASSERT_MESSAGE(path, !caller->response.headers.find("Retry-After"));
-            assertNothingInFlight(bench);
+            assertNothingInFlight(harness);
         }
     }
 
@@ -906,21 +915,22 @@
         return false;
     }
 
-    static void assertNothingInFlight(const Bench &bench)
+    static void assertNothingInFlight(const DispatchHarness &harness)
     {
         for (const char *host : { "a1", "a2", "c1", "c2" })
-            CPPUNIT_ASSERT_EQUAL(0, bench.state.targets.inFlight(HostId(host)));
+            CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.inFlight(HostId(host)));
     }
 
-    // Serves a stream; `beforeRead` gets the number of the read that follows, from 1.
+    // Serves a stream; `beforeRead` gets the number of the read that follows, counted from 1.
     static std::shared_ptr<RecordedExchange>
-    serveWithTurns(Bench &bench, const std::function<void(IoContext &, int, Yield)> &beforeRead)
+    serveWithReadHook(DispatchHarness &harness,
+                      const std::function<void(IoContext &, int, Yield)> &beforeRead)
     {
-        WatchedClient client(bench.client);
+        ReadHookClient client(harness.client);
         int reads = 0;
         auto caller =
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/x", {}, "body" });
-        bench.serve(
+        harness.serve(
             [&](IoContext &io) {
                 client.beforeRead = [&](Yield yield) { beforeRead(io, ++reads, yield); };
                 return caller;
