--- a/ramphinge/routing/candidate.h
+++ b/ramphinge/routing/candidate.h
@@ -1,4 +1,4 @@
-// What a routing decision sees of one replica (or plain upstream): a value, taken at one moment.
+// The input of a routing decision: a snapshot of one replica (or plain upstream), and the query.
 
 #pragma once
 
@@ -16,27 +16,27 @@
     ReplicaId replica;
     ZoneId zone;
     bool localZone = true;
-    Duration zoneLatency {}; // One way, from settings; zero in the own zone.
-    double load = 0; // Estimated requests at the replica, over the size of its batch.
-    int inFlight = 0; // Own requests there now.
-    int slots = 1; // Own requests that may be there at once, now.
+    Duration zoneLatency {}; // One way, from settings; zero in the local zone.
+    double load = 0; // Estimated requests at the replica, divided by its maximum batch size.
+    int inFlight = 0; // This daemon's requests at the replica.
+    int slots = 1; // This daemon's present limit on inFlight.
 };
 
-// One request, as far as routing cares.
+// The properties of a request that routing depends on.
 struct RouteQuery
 {
-    std::uint64_t prefix = 0; // Hash of the prompt's shared beginning; 0 is "no affinity".
-    std::vector<ReplicaId> exclude; // Already tried.
+    std::uint64_t prefix = 0; // Hash of the prompt's shared prefix; 0 means no affinity.
+    std::vector<ReplicaId> exclude; // Tried before for this request.
 };
 
-// Picks among replicas that may serve the request. Pure: equal inputs, equal choice, except for
-// the state that an implementation names. Not thread-safe.
+// Chooses among replicas that may serve the request. Deterministic: equal inputs give equal
+// choices, except for state that an implementation documents. Not thread-safe.
 class RoutingPolicy
 {
 public:
     virtual ~RoutingPolicy() = default;
 
-    // The index of the choice, or nothing if every candidate is excluded or full.
+    // The index of the chosen candidate, or nullopt if every candidate is excluded or full.
     virtual std::optional<std::size_t> choose(const RouteQuery &query,
                                               const std::vector<Candidate> &candidates) = 0;
 
--- a/ramphinge/routing/outliers.cpp
+++ b/ramphinge/routing/outliers.cpp
@@ -1,4 +1,4 @@
-// Straggler detection: see outliers.h.
+// Outlier detection: see outliers.h.
 
 #include "ramphinge/routing/outliers.h"
 
@@ -7,8 +7,9 @@
 namespace ramphinge {
 
 namespace {
-constexpr int maxRelapses = 3;
-constexpr double leastAdmission = 0.1; // Of a replica in slow start, so that it gets some samples.
+constexpr int maxBackoffDoublings = 3;
+// Minimum for a replica in slow start, so that it gets some samples.
+constexpr double minAdmission = 0.1;
 } // namespace
 
 OutlierDetector::OutlierDetector(OutlierOptions options) : m_options(options) { }
@@ -41,8 +42,8 @@
         record.samples = 0;
         record.failures = 0;
     }
-    const bool bad = record.failures >= m_options.failuresInRow || isSlow(record, alike);
-    if (bad && mayEjectOneMore(alike, now)) {
+    const bool isOutlier = record.failures >= m_options.failuresInRow || isSlow(record, alike);
+    if (isOutlier && mayEjectOneMore(alike, now)) {
         eject(record, now);
         return 0;
     }
@@ -50,7 +51,7 @@
         return 1;
     const double ramp =
         toMilliseconds(now - record.rampStart) / toMilliseconds(m_options.slowStart);
-    return std::max(leastAdmission, ramp);
+    return std::max(minAdmission, ramp);
 }
 
 bool OutlierDetector::isSlow(const Record &record, const std::vector<ReplicaId> &alike) const
@@ -65,7 +66,7 @@
     }
     if (others.size() < 2)
         return false;
-    // The lower median: with two replicas, the faster one is the measure.
+    // The lower median: with two replicas, the faster one is the reference.
     const auto middle = others.begin() + static_cast<std::ptrdiff_t>((others.size() - 1) / 2);
     std::nth_element(others.begin(), middle, others.end());
     return record.smoothed > *middle * m_options.slowFactor;
@@ -87,8 +88,9 @@
 void OutlierDetector::eject(Record &record, MonotonicTime now)
 {
     record.ejected = true;
-    record.until = now + m_options.ejection * (1 << std::min(record.relapses, maxRelapses));
-    ++record.relapses;
+    record.until =
+        now + m_options.ejection * (1 << std::min(record.ejections, maxBackoffDoublings));
+    ++record.ejections;
     ++m_ejections;
 }
 
--- a/ramphinge/routing/policies.cpp
+++ b/ramphinge/routing/policies.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Load that one millisecond of distance between zones is worth, once requests must leave theirs.
+// Converts latency between zones to load, to compare replicas of different zones.
 constexpr double loadPerMillisecond = 0.05;
 
 bool eligible(const RouteQuery &query, const Candidate &candidate)
@@ -33,8 +33,8 @@
     return indices;
 }
 
-// Load as it counts for a choice: the zone's distance is added as if it were load.
-double weighedLoad(const Candidate &candidate)
+// Load with the latency to the zone added as if it were load.
+double distanceWeightedLoad(const Candidate &candidate)
 {
     return candidate.load + toMilliseconds(candidate.zoneLatency) * loadPerMillisecond;
 }
@@ -44,8 +44,8 @@
 {
     const auto best = std::min_element(
         indices.begin(), indices.end(), [&candidates](std::size_t a, std::size_t b) {
-            const double loadA = weighedLoad(candidates[a]);
-            const double loadB = weighedLoad(candidates[b]);
+            const double loadA = distanceWeightedLoad(candidates[a]);
+            const double loadB = distanceWeightedLoad(candidates[b]);
             return loadA != loadB ? loadA < loadB : candidates[a].inFlight < candidates[b].inFlight;
         });
     return best == indices.end() ? std::nullopt : std::optional<std::size_t>(*best);
@@ -60,7 +60,7 @@
                                       const std::vector<Candidate> &candidates) override
     {
         const Indices all = eligibleIndices(query, candidates);
-        const Indices near = nearest(all, candidates);
+        const Indices near = localOrAll(all, candidates);
         if (near.empty() || query.prefix == 0)
             return leastLoaded(near, candidates);
         const std::optional<std::size_t> home = boundedHome(query.prefix, near, candidates);
@@ -70,8 +70,8 @@
     const char *name() const override { return "affinity"; }
 
 private:
-    // The own zone's replicas while one of them has room, otherwise all.
-    Indices nearest(const Indices &all, const std::vector<Candidate> &candidates) const
+    // The local zone's replicas below the spill load, or all if there are none.
+    Indices localOrAll(const Indices &all, const std::vector<Candidate> &candidates) const
     {
         Indices local;
         for (const std::size_t i : all) {
@@ -81,7 +81,7 @@
         return local.empty() ? all : local;
     }
 
-    // The least loaded of the prefix's homes that is within the bound.
+    // The first of the prefix's homes, in hash order, whose load is within the bound.
     std::optional<std::size_t> boundedHome(std::uint64_t prefix, const Indices &near,
                                            const std::vector<Candidate> &candidates) const
     {
--- a/ramphinge/routing/replica_table.cpp
+++ b/ramphinge/routing/replica_table.cpp
@@ -57,33 +57,35 @@
     adjustBorrowing(found->second);
 }
 
-double ReplicaTable::placesOf(const State &state) const
+double ReplicaTable::engineSlots(const State &state) const
 {
     return m_options.queueDepth * state.load.maxBatch;
 }
 
 namespace {
-constexpr double nearlyFull = 0.9; // Whoever waits at the engine waits for a whole answer's time.
-constexpr double usualWeight = 0.2; // Of the newest report.
+// Share of an engine's slots up to which borrowing grows: a request that waits at a full engine
+// waits for as long as a complete answer takes.
+constexpr double maxBorrowingOccupancy = 0.9;
+constexpr double newestReportWeight = 0.2;
 } // namespace
 
-// Reports are too late to count free places by: several daemons would take the same ones. So
-// borrowing grows with each report that shows nobody waiting at the engine, and is halved by one
-// that does: additive increase, multiplicative decrease. An engine that is half empty is filled
-// quickly.
+// Reports are too late to count free slots: several daemons would take the same ones. Borrowing
+// therefore grows with each report without requests waiting at the engine, and is halved by a
+// report with some: additive increase, multiplicative decrease. An engine that is less than half
+// full is filled exponentially.
 void ReplicaTable::adjustBorrowing(State &state) const
 {
-    const double places = placesOf(state);
+    const double allSlots = engineSlots(state);
     // One report may have caught the moment after many answers ended together.
-    state.usualRunning += usualWeight * (state.load.running - state.usualRunning);
-    const double running = std::max(state.usualRunning, static_cast<double>(state.load.running));
+    state.smoothedRunning += newestReportWeight * (state.load.running - state.smoothedRunning);
+    const double running = std::max(state.smoothedRunning, static_cast<double>(state.load.running));
     if (state.load.waiting > 0)
         state.borrowed /= 2;
-    else if (running < places / 2)
-        state.borrowed = std::max(state.borrowed * 2, places / 4);
-    else if (running < places * nearlyFull)
-        state.borrowed += std::max(1.0, places / 16);
-    state.borrowed = std::min(state.borrowed, places - places / m_sharers);
+    else if (running < allSlots / 2)
+        state.borrowed = std::max(state.borrowed * 2, allSlots / 4);
+    else if (running < allSlots * maxBorrowingOccupancy)
+        state.borrowed += std::max(1.0, allSlots / 16);
+    state.borrowed = std::min(state.borrowed, allSlots - allSlots / m_sharers);
 }
 
 bool ReplicaTable::usable(const State &state) const
@@ -93,7 +95,7 @@
                         [this](const HostId &host) { return m_unusable.count(host) > 0; });
 }
 
-Duration ReplicaTable::distance(const ZoneId &zone) const
+Duration ReplicaTable::latencyTo(const ZoneId &zone) const
 {
     if (zone == m_options.ownZone)
         return Duration::zero();
@@ -113,9 +115,9 @@
 
 int ReplicaTable::slots(const State &state, double admission) const
 {
-    const double own = placesOf(state) / m_sharers;
-    const int places = static_cast<int>(std::floor((own + state.borrowed) * admission));
-    return std::max(admission > 0 ? 1 : 0, places);
+    const double own = engineSlots(state) / m_sharers;
+    const int limit = static_cast<int>(std::floor((own + state.borrowed) * admission));
+    return std::max(admission > 0 ? 1 : 0, limit);
 }
 
 std::vector<Candidate> ReplicaTable::candidates(const ModelId &model, MonotonicTime now)
@@ -137,7 +139,7 @@
         candidate.replica = state->entry.replica;
         candidate.zone = state->entry.zone;
         candidate.localZone = state->entry.zone == m_options.ownZone;
-        candidate.zoneLatency = distance(state->entry.zone);
+        candidate.zoneLatency = latencyTo(state->entry.zone);
         candidate.load = estimatedRequests(*state) / std::max(1, state->load.maxBatch);
         candidate.inFlight = state->inFlight;
         candidate.slots = slots(*state, admission);
--- a/ramphinge/routing/replica_table.h
+++ b/ramphinge/routing/replica_table.h
@@ -1,8 +1,9 @@
-// The replicas that requests may go to, as this daemon knows them: the plan, load reports that lag,
-// and its own requests in flight.
+// The replicas that requests may go to, from the plan, delayed load reports and this daemon's
+// requests in flight.
 //
-// The estimate of a replica's load is what it last reported plus what this daemon has sent it since
-// then: without the latter, every request of a report interval would go to the same replica.
+// A replica's estimated load is its last report, plus the requests that this daemon has sent since
+// then, minus those that have ended: otherwise every request between two reports would go to the
+// same replica.
 
 #pragma once
 
@@ -16,15 +17,15 @@
 
 namespace ramphinge {
 
-// One replica that the plan calls ready.
+// A replica that is ready according to the plan.
 struct ReplicaEntry
 {
     ReplicaId replica;
-    Epoch epoch; // Of the forming; requests carry it, the engine's answer repeats it.
+    Epoch epoch; // Epoch in which it was formed; requests and the engine's answers carry it.
     ModelId model;
     ZoneId zone;
     Endpoint endpoint; // Of the host of rank 0.
-    std::vector<HostId> hosts; // All of them; the replica is usable only while none is missing.
+    std::vector<HostId> hosts; // The replica is usable only while none of them is unusable.
 };
 
 struct LoadReport
@@ -34,7 +35,7 @@
     int maxBatch = 32;
 };
 
-// How far another zone is, one way.
+// Latency to another zone, one way.
 struct ZoneDistance
 {
     ZoneId zone;
@@ -44,11 +45,11 @@
 struct ReplicaTableOptions
 {
     ZoneId ownZone;
-    std::vector<ZoneDistance> zones; // Other zones absent here count with the default.
+    std::vector<ZoneDistance> zones; // Zones not listed get the default latency.
     Duration defaultZoneLatency = std::chrono::microseconds(1500);
     OutlierOptions outliers;
-    // Requests that all daemons together may have at a replica, over its batch: the engine's own
-    // queue is kept this short, since only the daemon's queue is fair.
+    // Requests that all daemons together may have at a replica, as a multiple of its batch size.
+    // Keeps the engine's own queue short, since only the daemon's queue is fair.
     double queueDepth = 1.0;
 };
 
@@ -58,31 +59,31 @@
     int all = 0;
 };
 
-// Not thread-safe: lives on the request loop.
+// Not thread-safe: used on the request loop.
 class ReplicaTable
 {
 public:
     explicit ReplicaTable(ReplicaTableOptions options);
 
-    // Replaces the set of ready replicas. In-flight counts of those that stay are kept.
+    // Replaces the set of ready replicas. Replicas that stay keep their in-flight counts.
     void setReplicas(const std::vector<ReplicaEntry> &entries, MonotonicTime now);
 
-    // Hosts that must get nothing new: dead, leaving, or not what the plan says.
+    // Hosts that get no new requests: dead, leaving, or in another state than planned.
     void setUnusableHosts(std::set<HostId> hosts);
 
-    // How many daemons send to this zone's replicas; each then has its part of the batch, and
-    // borrows what the others leave.
+    // Number of daemons that send to this zone's replicas. Each gets an equal share of a replica's
+    // batch and borrows slots that the others leave unused.
     void setSharers(int daemons) { m_sharers = std::max(1, daemons); }
 
     void report(const ReplicaId &replica, const LoadReport &report);
 
-    // Replicas of `model` that may get requests now.
+    // Replicas of `model` that may get requests at `now`.
     std::vector<Candidate> candidates(const ModelId &model, MonotonicTime now);
 
-    // Own requests that could start now, and that could be at the model's replicas at once.
+    // This daemon's free slots and all its slots at the model's replicas.
     SlotCount slotCount(const ModelId &model, MonotonicTime now);
 
-    // Nothing if it is not ready any more.
+    // Nullopt if it is not ready or has an unusable host.
     std::optional<ReplicaEntry> find(const ReplicaId &replica) const;
     std::vector<ReplicaEntry> entries() const;
 
@@ -96,18 +97,19 @@
     {
         ReplicaEntry entry;
         LoadReport load;
-        int inFlight = 0; // Invariant: began() minus ended() over the replica's whole life.
+        int inFlight = 0; // Invariant: calls of began() minus calls of ended() for this replica.
         int sentSinceReport = 0;
         int endedSinceReport = 0;
-        bool ready = true; // False: dropped from the plan while requests were in flight.
-        double usualRunning = 0; // Smoothed over reports.
-        double borrowed = 0; // Places beyond the own part of the batch; see adjustBorrowing().
+        bool ready = true; // False: no longer ready in the plan; kept while requests are in flight.
+        double smoothedRunning = 0; // Running requests, moving average over reports.
+        double borrowed =
+            0; // Slots beyond this daemon's share of the batch; see adjustBorrowing().
     };
 
     bool usable(const State &state) const;
-    Duration distance(const ZoneId &zone) const;
+    Duration latencyTo(const ZoneId &zone) const;
     double estimatedRequests(const State &state) const;
-    double placesOf(const State &state) const;
+    double engineSlots(const State &state) const;
     void adjustBorrowing(State &state) const;
     int slots(const State &state, double admission) const;
 
--- a/ramphinge/routing/routing_test.cpp
+++ b/ramphinge/routing/routing_test.cpp
@@ -1,4 +1,5 @@
-// Tests of routing: affinity within its bound, zones, stragglers with a cap, load between reports.
+// Tests of routing: bounded cache affinity, zones, capped ejection of outliers, load between
+// reports.
 
 #include "ramphinge/routing/policies.h"
 #include "ramphinge/routing/replica_table.h"
@@ -31,14 +32,14 @@
 {
     CPPUNIT_TEST_SUITE(RoutingTest);
     CPPUNIT_TEST(samePrefixGoesToTheSameReplica);
-    CPPUNIT_TEST(affinityGivesWayWhenItsHomesAreOverTheBound);
-    CPPUNIT_TEST(ownZoneComesFirstUntilItIsFull);
+    CPPUNIT_TEST(affinityIsIgnoredWhenHomesExceedTheLoadBound);
+    CPPUNIT_TEST(localZoneIsPreferredUntilItIsFull);
     CPPUNIT_TEST(triedReplicasAreNotTriedAgain);
-    CPPUNIT_TEST(stragglerIsEjectedAndComesBackSlowly);
-    CPPUNIT_TEST(neverEjectsMoreThanItsCap);
+    CPPUNIT_TEST(slowReplicaIsEjectedAndReturnsBySlowStart);
+    CPPUNIT_TEST(neverEjectsMoreThanTheCap);
     CPPUNIT_TEST(requestsSentSinceTheReportCountAsLoad);
-    CPPUNIT_TEST(replicaWithAMissingHostIsNoCandidate);
-    CPPUNIT_TEST(sharersSplitTheBatchButBorrowWhatIsUnused);
+    CPPUNIT_TEST(replicaWithAnUnusableHostIsNoCandidate);
+    CPPUNIT_TEST(daemonsSplitTheBatchAndBorrowUnusedSlots);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -52,7 +53,7 @@
             CPPUNIT_ASSERT(first == policy->choose({ 42, {} }, all));
     }
 
-    void affinityGivesWayWhenItsHomesAreOverTheBound()
+    void affinityIsIgnoredWhenHomesExceedTheLoadBound()
     {
         AffinityOptions options;
         options.homes = 1;
@@ -64,7 +65,7 @@
         CPPUNIT_ASSERT(*policy->choose({ 42, {} }, all) != home);
     }
 
-    void ownZoneComesFirstUntilItIsFull()
+    void localZoneIsPreferredUntilItIsFull()
     {
         const auto policy = makeAffinityPolicy({});
         std::vector<Candidate> all { candidate("far", 0.0, false), candidate("near", 0.9) };
@@ -80,7 +81,7 @@
         CPPUNIT_ASSERT(!policy->choose({ 7, { ReplicaId("r1") } }, all));
     }
 
-    void stragglerIsEjectedAndComesBackSlowly()
+    void slowReplicaIsEjectedAndReturnsBySlowStart()
     {
         ManualClock clock;
         OutlierDetector outliers({});
@@ -99,7 +100,7 @@
         CPPUNIT_ASSERT_EQUAL(1.0, outliers.admission(alike[2], alike, clock.now()));
     }
 
-    void neverEjectsMoreThanItsCap()
+    void neverEjectsMoreThanTheCap()
     {
         ManualClock clock;
         OutlierDetector outliers({});
@@ -135,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(2, sent[ReplicaId("r2")]);
     }
 
-    void replicaWithAMissingHostIsNoCandidate()
+    void replicaWithAnUnusableHostIsNoCandidate()
     {
         ManualClock clock;
         ReplicaTable table({ ZoneId("a"), {}, {}, {}, 1.0 });
@@ -147,24 +148,24 @@
         CPPUNIT_ASSERT(!table.find(ReplicaId("r1")));
     }
 
-    void sharersSplitTheBatchButBorrowWhatIsUnused()
+    void daemonsSplitTheBatchAndBorrowUnusedSlots()
     {
         ManualClock clock;
         ReplicaTable table({ ZoneId("a"), {}, {}, {}, 1.0 });
         table.setReplicas({ entry("r1") }, clock.now());
         table.setSharers(4);
         const auto slots = [&] { return table.slotCount(ModelId("m@1"), clock.now()).free; };
-        // Idle: all of the batch after three reports, never more.
+        // Idle engine: borrows the whole batch within three reports, never more.
         for (int i = 0; i < 3; ++i)
             table.report(ReplicaId("r1"), { 0, 0, 8 });
         CPPUNIT_ASSERT_EQUAL(8, slots());
         table.report(ReplicaId("r1"), { 0, 0, 8 });
         CPPUNIT_ASSERT_EQUAL(8, slots());
-        // Requests wait at the engine: back to the own quarter after a few.
+        // Requests wait at the engine: back to this daemon's quarter after a few reports.
         for (int i = 0; i < 4; ++i)
             table.report(ReplicaId("r1"), { 8, 3, 8 });
         CPPUNIT_ASSERT_EQUAL(2, slots());
-        // Full, but nobody waits: as it was. One place free: one more.
+        // Full without waiting requests: unchanged. One slot free: borrowing grows.
         table.report(ReplicaId("r1"), { 8, 0, 8 });
         CPPUNIT_ASSERT_EQUAL(2, slots());
         for (int i = 0; i < 2; ++i)
--- a/tools/mutation-check.sh
+++ b/tools/mutation-check.sh
@@ -108,7 +108,7 @@
 mutant "charges are not corrected" ramphinge/limits/fair_queue.cpp limits \
     'account.finish += static_cast<double>((actual - estimate).count()) / account.weight;' ''
 mutant "stragglers are ejected without a cap" ramphinge/routing/outliers.cpp routing \
-    'if (bad && mayEjectOneMore(alike, now)) {' 'if (bad) {'
+    'if (isOutlier && mayEjectOneMore(alike, now)) {' 'if (isOutlier) {'
 mutant "requests sent since the report do not count" ramphinge/routing/replica_table.cpp routing \
     '    ++state.sentSinceReport;' ''
 exit $survived
