--- a/ramphinge/membership/host_view.cpp
+++ b/ramphinge/membership/host_view.cpp
@@ -1,4 +1,4 @@
-// Knowledge of upstream hosts: see host_view.h.
+// The view of upstream hosts: see host_view.h.
 
 #include "ramphinge/membership/host_view.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool samePlace(const HostObservation &a, const HostObservation &b)
+bool hasSameState(const HostObservation &a, const HostObservation &b)
 {
     return a.answers == b.answers && a.replica == b.replica && a.epoch == b.epoch
         && a.rank == b.rank && a.loaded == b.loaded && a.whole == b.whole
@@ -35,9 +35,9 @@
     }
     if (observation.madeAt <= found->second.madeAt)
         return false;
-    const bool isNews = !samePlace(found->second, observation);
+    const bool isChanged = !hasSameState(found->second, observation);
     found->second = observation;
-    return isNews;
+    return isChanged;
 }
 
 const Member *HostView::member(const HostId &host) const
@@ -62,8 +62,8 @@
     const Member *listed = member(host);
     if (listed == nullptr || listed->leaving)
         return false;
-    const HostObservation *seen = latest(host, now);
-    return seen == nullptr ? listed->live : seen->answers;
+    const HostObservation *observation = latest(host, now);
+    return observation == nullptr ? listed->live : observation->answers;
 }
 
 std::set<HostId> HostView::unusableHosts(MonotonicTime now) const
@@ -81,10 +81,10 @@
 {
     const std::uint64_t key = stableHash(host.text());
     const std::uint64_t own = rendezvousScore(key, self.text());
-    const auto better = std::count_if(alive.begin(), alive.end(), [&](const DaemonId &other) {
+    const auto higherScores = std::count_if(alive.begin(), alive.end(), [&](const DaemonId &other) {
         return other != self && rendezvousScore(key, other.text()) > own;
     });
-    return better < observers;
+    return higherScores < observers;
 }
 
 } // namespace ramphinge
--- a/ramphinge/membership/host_view.h
+++ b/ramphinge/membership/host_view.h
@@ -1,8 +1,9 @@
-// What is known of upstream hosts: the platform's lagging list, corrected by what daemons see.
+// A daemon's view of upstream hosts: the platform's member list, which is delayed, corrected by the
+// daemons' own observations.
 //
-// Each observation says when it was made, by its age at the time of sending, so that the newest
-// wins whichever way it came. A host is unusable if the newest observation says that it doesn't
-// answer, or if anybody has said that it is leaving; without any observation the platform's list
+// An observation is sent with its age, from which the receiver computes when it was made, so that
+// the newest wins whichever way it arrives. A host is unusable if the list says that it is leaving,
+// or if the newest observation says that it doesn't answer. Without a recent observation the list
 // decides.
 
 #pragma once
@@ -17,20 +18,20 @@
 
 namespace ramphinge {
 
-// One look at one host.
+// The result of one probe of a host.
 struct HostObservation
 {
     HostId host;
     MonotonicTime madeAt; // By the local clock.
     bool answers = false;
-    std::string incarnation; // Of the host's process; empty if it does not answer.
+    std::string incarnation; // Of the host's process; empty if it doesn't answer.
 
-    // What it says it is.
+    // The state that the host reported.
     ReplicaId replica;
     Epoch epoch;
     int rank = -1;
     bool loaded = false;
-    bool whole = true; // Its replica's other hosts answer it.
+    bool whole = true; // All other hosts of its replica answer it.
     ModelId model;
     int running = 0;
     int waiting = 0;
@@ -39,7 +40,7 @@
 
 struct HostViewOptions
 {
-    // Older observations count for nothing: nobody looks at the host any more.
+    // Older observations are ignored: the host is no longer being probed.
     Duration observationLife = std::chrono::seconds(5);
 };
 
@@ -51,16 +52,17 @@
 
     void setMembers(const MemberList &list);
 
-    // True if it says something new about the host's health or place: worth telling at once.
+    // True if the host's health, replica or incarnation changed, so that peers should hear of it at
+    // once. Ignores observations that are not newer than the latest.
     bool observe(const HostObservation &observation);
 
     const std::vector<Member> &members() const { return m_members.members; }
     const Member *member(const HostId &host) const;
 
-    // The newest observation within its life, or null.
+    // The newest observation, or null if there is none younger than `observationLife`.
     const HostObservation *latest(const HostId &host, MonotonicTime now) const;
 
-    // Whether new work may go to it.
+    // Whether new requests may go to the host.
     bool usable(const HostId &host, MonotonicTime now) const;
     std::set<HostId> unusableHosts(MonotonicTime now) const;
 
@@ -70,8 +72,9 @@
     std::map<HostId, HostObservation> m_latest;
 };
 
-// Which daemons look at a host: the `observers` best by rendezvous hashing among `alive`, so that
-// the cost for each daemon stays flat as the fleet grows, and a lost daemon's hosts are spread.
+// Whether the daemon `self` probes a host: the `observers` daemons of `alive` with the highest
+// rendezvous scores do, so that the cost for each daemon stays constant as the fleet grows and the
+// hosts of a lost daemon are spread over the others.
 bool isObserver(const DaemonId &self, const HostId &host, const std::vector<DaemonId> &alive,
                 int observers);
 
--- a/ramphinge/membership/membership_test.cpp
+++ b/ramphinge/membership/membership_test.cpp
@@ -1,4 +1,5 @@
-// Tests of membership: who may serve, over random partitions; what is known of hosts; who looks.
+// Tests of membership: the serving decision, also over random partitions; the view of hosts; the
+// choice of observers.
 
 #include <map>
 
@@ -48,17 +49,17 @@
 {
     CPPUNIT_TEST_SUITE(MembershipTest);
     CPPUNIT_TEST(registeredDaemonServes);
-    CPPUNIT_TEST(lapsedDaemonAloneOfThreeRefuses);
-    CPPUNIT_TEST(zoneCutOffGoesOn);
-    CPPUNIT_TEST(lapsedDaemonRefusesWhileAPeerIsRegistered);
-    CPPUNIT_TEST(zoneCutOffServesTheNewestThatItsDaemonsHave);
-    CPPUNIT_TEST(staleWordOfAPeerCountsForNothing);
-    CPPUNIT_TEST(thawedDaemonRefusesAtOnce);
+    CPPUNIT_TEST(unregisteredDaemonAloneOfThreeRefuses);
+    CPPUNIT_TEST(partitionedZoneContinuesToServe);
+    CPPUNIT_TEST(unregisteredDaemonRefusesWhileAPeerIsRegistered);
+    CPPUNIT_TEST(partitionedZoneServesOnlyItsNewestConfiguration);
+    CPPUNIT_TEST(stalePeerStateIsIgnored);
+    CPPUNIT_TEST(daemonWithExpiredLeaseRefusesAfterFreeze);
     CPPUNIT_TEST(neverServesStaleOverRandomPartitions);
     CPPUNIT_TEST(newestObservationWinsOverTheList);
     CPPUNIT_TEST(leavingHostIsUnusableAtOnce);
-    CPPUNIT_TEST(silenceFallsBackToTheList);
-    CPPUNIT_TEST(everyHostHasItsObservers);
+    CPPUNIT_TEST(expiredObservationFallsBackToTheList);
+    CPPUNIT_TEST(everyHostHasTheConfiguredNumberOfObservers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -72,23 +73,23 @@
         CPPUNIT_ASSERT(ServingMode::Refusing == decideServing(input, {}).mode);
     }
 
-    void lapsedDaemonAloneOfThreeRefuses()
+    void unregisteredDaemonAloneOfThreeRefuses()
     {
         CPPUNIT_ASSERT(ServingMode::Refusing == decideServing(threeDaemons(), {}).mode);
     }
 
-    void zoneCutOffGoesOn()
+    void partitionedZoneContinuesToServe()
     {
         ServingInput input = threeDaemons();
         input.zonePeers = { peer(d2, Registration::Unregistered, m_clock.now()) };
         CPPUNIT_ASSERT(ServingMode::ZoneAlone == decideServing(input, {}).mode);
-        // A zone with a single daemon is its own half.
+        // The only daemon of a zone is at least half of its roster.
         input.roster.daemons = { d1 };
         input.zonePeers.clear();
         CPPUNIT_ASSERT(ServingMode::ZoneAlone == decideServing(input, {}).mode);
     }
 
-    void lapsedDaemonRefusesWhileAPeerIsRegistered()
+    void unregisteredDaemonRefusesWhileAPeerIsRegistered()
     {
         ServingInput input = threeDaemons();
         input.zonePeers = { peer(d2, Registration::Unregistered, m_clock.now()),
@@ -98,7 +99,7 @@
         CPPUNIT_ASSERT(ServingMode::ZoneAlone == decideServing(input, {}).mode);
     }
 
-    void zoneCutOffServesTheNewestThatItsDaemonsHave()
+    void partitionedZoneServesOnlyItsNewestConfiguration()
     {
         ServingInput input = threeDaemons();
         input.zonePeers = { peer(d2, Registration::Unregistered, m_clock.now()) };
@@ -108,7 +109,7 @@
         CPPUNIT_ASSERT(ServingMode::ZoneAlone == decideServing(input, {}).mode);
     }
 
-    void staleWordOfAPeerCountsForNothing()
+    void stalePeerStateIsIgnored()
     {
         ServingInput input = threeDaemons();
         input.zonePeers = { peer(d2, Registration::Unregistered, m_clock.now()) };
@@ -117,7 +118,7 @@
         CPPUNIT_ASSERT(ServingMode::Refusing == decideServing(input, {}).mode);
     }
 
-    void thawedDaemonRefusesAtOnce()
+    void daemonWithExpiredLeaseRefusesAfterFreeze()
     {
         ServingInput input = threeDaemons();
         input.registration =
@@ -163,7 +164,7 @@
         CPPUNIT_ASSERT(!view.usable(HostId("h"), m_clock.now()));
     }
 
-    void silenceFallsBackToTheList()
+    void expiredObservationFallsBackToTheList()
     {
         HostView view({});
         view.setMembers({ Revision(1), { listed("h") } });
@@ -172,7 +173,7 @@
         CPPUNIT_ASSERT(view.usable(HostId("h"), m_clock.now()));
     }
 
-    void everyHostHasItsObservers()
+    void everyHostHasTheConfiguredNumberOfObservers()
     {
         const std::vector<DaemonId> alive { d1, d2, d3 };
         for (int i = 0; i < 100; ++i) {
@@ -195,36 +196,36 @@
         return input;
     }
 
-    // Daemons of one zone lose and find the platform and each other at random, and are frozen. A
-    // change is accepted whenever the registered ones are a majority and all of them confirm. No
-    // daemon may then serve an older version.
-    struct Actor
+    // Random partitions between the daemons of a zone and the platform and between each other, and
+    // frozen daemons. A change is accepted when the registered daemons are a majority and all of
+    // them confirm it. No daemon may then serve an older version.
+    struct SimulatedDaemon
     {
         DaemonId id;
         bool reachesPlatform = true;
         bool frozen = false;
         MonotonicTime platformLeaseEnd; // As the platform sees it.
         LeaseTerm term; // As the daemon sees it.
-        MonotonicTime lastUnregisteredWord;
+        MonotonicTime lastReportedUnregistered;
         std::int64_t version = 1;
         std::int64_t prepared = 0;
         std::map<DaemonId, PeerState> heard;
     };
 
-    using Cuts = std::set<std::pair<std::size_t, std::size_t>>; // From, to.
+    using BrokenLinks = std::set<std::pair<std::size_t, std::size_t>>; // From, to.
 
-    // Nobody is heard by this one any more.
-    static void isolate(std::size_t victim, std::size_t count, Cuts &cut)
+    // Drops all messages to `victim`.
+    static void isolate(std::size_t victim, std::size_t count, BrokenLinks &brokenLinks)
     {
         for (std::size_t from = 0; from < count; ++from)
-            cut.emplace(from, victim);
+            brokenLinks.emplace(from, victim);
     }
 
-    static Registration wordOf(const Actor &actor, MonotonicTime now)
+    static Registration reportedRegistration(const SimulatedDaemon &daemon, MonotonicTime now)
     {
-        if (actor.term.mayAct(now))
+        if (daemon.term.mayAct(now))
             return Registration::Registered;
-        return actor.reachesPlatform ? Registration::Rejoining : Registration::Unregistered;
+        return daemon.reachesPlatform ? Registration::Rejoining : Registration::Unregistered;
     }
 
     static void runPartitions(std::uint32_t seed)
@@ -233,110 +234,113 @@
         constexpr Duration lease = std::chrono::seconds(3);
         const ServingOptions options;
         Random random(seed);
-        // A wide margin gives the time between the two ends of a lease its chance.
+        // A wide margin lengthens the time in which the lease has ended for the daemon, but not for
+        // the platform.
         const Duration margin = std::chrono::milliseconds(500 + 500 * random.below(4));
         ManualClock clock;
         const std::size_t count = 1 + random.below(5);
-        std::vector<Actor> actors(count);
+        std::vector<SimulatedDaemon> daemons(count);
         ZoneRoster roster { ZoneId("a"), {} };
         for (std::size_t i = 0; i < count; ++i) {
-            actors[i].id = DaemonId("d" + std::to_string(i));
-            roster.daemons.push_back(actors[i].id);
+            daemons[i].id = DaemonId("d" + std::to_string(i));
+            roster.daemons.push_back(daemons[i].id);
         }
         const std::uint64_t eventOdds = 8 + random.below(40);
-        Cuts cut;
+        BrokenLinks brokenLinks;
         std::int64_t accepted = 1;
         std::int64_t lastProposal = 1;
-        std::int64_t proposed = 0; // Confirmed by all who must, not decided yet; or 0.
+        std::int64_t proposed = 0; // Confirmed by every registered daemon, not decided yet; or 0.
         for (int step = 0; step < 400; ++step) {
             clock.advance(tick);
             const MonotonicTime now = clock.now();
-            Actor &any = actors[random.below(count)];
+            SimulatedDaemon &any = daemons[random.below(count)];
             const std::uint64_t event = random.below(eventOdds);
             if (event == 0)
                 any.reachesPlatform = !any.reachesPlatform;
             else if (event == 1)
                 any.frozen = !any.frozen;
             else if (event == 2)
-                for (Actor &actor : actors)
-                    actor.reachesPlatform = false;
+                for (SimulatedDaemon &daemon : daemons)
+                    daemon.reachesPlatform = false;
             else if (event == 3)
-                cut.emplace(random.below(count), random.below(count));
+                brokenLinks.emplace(random.below(count), random.below(count));
             else if (event == 4)
-                isolate(random.below(count), count, cut);
+                isolate(random.below(count), count, brokenLinks);
             else if (event == 5 && random.below(4) == 0)
-                cut.clear();
+                brokenLinks.clear();
             for (std::size_t i = 0; i < count; ++i) {
-                Actor &actor = actors[i];
-                if (actor.frozen)
+                SimulatedDaemon &daemon = daemons[i];
+                if (daemon.frozen)
                     continue;
-                if (actor.reachesPlatform) {
-                    // Renewal, or a new registration once its promise is over; it then reads the
-                    // newest configuration before it counts itself registered.
-                    const bool promised = now - actor.lastUnregisteredWord < 2 * options.promise;
-                    if (actor.term.mayAct(now) || !promised) {
-                        actor.platformLeaseEnd = now + lease;
-                        actor.term = LeaseTerm(now, lease, margin);
-                        actor.version = accepted;
-                        actor.prepared = proposed;
+                if (daemon.reachesPlatform) {
+                    // Renewal, or a new registration after the promise has ended. Reads the newest
+                    // configuration before it counts as registered.
+                    const bool promised =
+                        now - daemon.lastReportedUnregistered < 2 * options.promise;
+                    if (daemon.term.mayAct(now) || !promised) {
+                        daemon.platformLeaseEnd = now + lease;
+                        daemon.term = LeaseTerm(now, lease, margin);
+                        daemon.version = accepted;
+                        daemon.prepared = proposed;
                     }
                 }
-                // Learns a newer configuration from whom it hears.
-                for (const auto &[id, state] : actor.heard) {
+                // Learns newer configurations from its peers.
+                for (const auto &[id, state] : daemon.heard) {
                     if (state.heardAt != now)
                         continue;
-                    actor.version = std::max(actor.version, state.configVersion);
-                    actor.prepared = std::max(actor.prepared, state.preparedVersion);
+                    daemon.version = std::max(daemon.version, state.configVersion);
+                    daemon.prepared = std::max(daemon.prepared, state.preparedVersion);
                 }
-                const Registration word = wordOf(actor, now);
-                if (word == Registration::Unregistered)
-                    actor.lastUnregisteredWord = now;
+                const Registration reported = reportedRegistration(daemon, now);
+                if (reported == Registration::Unregistered)
+                    daemon.lastReportedUnregistered = now;
                 for (std::size_t j = 0; j < count; ++j) {
-                    const bool passes = j != i && !actors[j].frozen && cut.count({ i, j }) == 0;
+                    const bool passes =
+                        j != i && !daemons[j].frozen && brokenLinks.count({ i, j }) == 0;
                     if (!passes)
                         continue;
-                    actors[j].heard[actor.id] = peer(actor.id, word, now);
-                    actors[j].heard[actor.id].configVersion = actor.version;
-                    actors[j].heard[actor.id].preparedVersion = actor.prepared;
+                    daemons[j].heard[daemon.id] = peer(daemon.id, reported, now);
+                    daemons[j].heard[daemon.id].configVersion = daemon.version;
+                    daemons[j].heard[daemon.id].preparedVersion = daemon.prepared;
                 }
             }
             std::vector<DaemonId> registered;
             bool allConfirm = true;
-            for (const Actor &actor : actors) {
-                if (actor.platformLeaseEnd <= now)
+            for (const SimulatedDaemon &daemon : daemons) {
+                if (daemon.platformLeaseEnd <= now)
                     continue;
-                registered.push_back(actor.id);
-                allConfirm =
-                    allConfirm && !actor.frozen && actor.reachesPlatform && actor.term.mayAct(now);
+                registered.push_back(daemon.id);
+                allConfirm = allConfirm && !daemon.frozen && daemon.reachesPlatform
+                    && daemon.term.mayAct(now);
             }
             if (proposed != 0 && random.below(3) == 0) {
-                // Decided: accepted, or given up for the next proposal, which gets a new number.
+                // Decided: accepted, or abandoned; the next proposal gets a new number.
                 accepted = random.below(2) == 0 ? proposed : accepted;
                 proposed = 0;
-                for (Actor &actor : actors) {
-                    if (actor.reachesPlatform && !actor.frozen && actor.term.mayAct(now)) {
-                        actor.version = accepted;
-                        actor.prepared = 0;
+                for (SimulatedDaemon &daemon : daemons) {
+                    if (daemon.reachesPlatform && !daemon.frozen && daemon.term.mayAct(now)) {
+                        daemon.version = accepted;
+                        daemon.prepared = 0;
                     }
                 }
             } else if (proposed == 0 && allConfirm && hasMajority(roster, registered)) {
                 proposed = ++lastProposal;
-                for (Actor &actor : actors) {
-                    if (actor.platformLeaseEnd > now)
-                        actor.prepared = proposed;
+                for (SimulatedDaemon &daemon : daemons) {
+                    if (daemon.platformLeaseEnd > now)
+                        daemon.prepared = proposed;
                 }
             }
-            for (const Actor &actor : actors) {
-                ServingInput input { actor.id,   actor.version, actor.prepared,
-                                     actor.term, roster,        {},
+            for (const SimulatedDaemon &daemon : daemons) {
+                ServingInput input { daemon.id,   daemon.version, daemon.prepared,
+                                     daemon.term, roster,         {},
                                      now };
-                for (const auto &[id, state] : actor.heard)
+                for (const auto &[id, state] : daemon.heard)
                     input.zonePeers.push_back(state);
                 const ServingDecision decision = decideServing(input, options);
-                const bool serves = !actor.frozen && decision.mode != ServingMode::Refusing;
-                const bool known = actor.version == accepted
-                    || (decision.inDoubt && actor.prepared == accepted)
-                    // Registered: it hears of the decision, or its lease ends, within its length.
+                const bool serves = !daemon.frozen && decision.mode != ServingMode::Refusing;
+                const bool known = daemon.version == accepted
+                    || (decision.inDoubt && daemon.prepared == accepted)
+                    // Registered: learns of the decision within the lease, or the lease ends.
                     || decision.mode == ServingMode::Confirmed;
                 RC_ASSERT((!serves || known));
             }
--- a/ramphinge/membership/peer_state.h
+++ b/ramphinge/membership/peer_state.h
@@ -1,4 +1,4 @@
-// What daemons tell each other about themselves.
+// The state that daemons send each other about themselves.
 
 #pragma once
 
@@ -9,16 +9,16 @@
 
 namespace ramphinge {
 
-// How a daemon stands with the platform.
+// A daemon's registration at the platform.
 enum class Registration {
-    Registered, // Its lease is current; changes wait for its confirmation.
-    Unregistered, // Its lease has lapsed, and it promises not to win a new one for `promise`.
-    Rejoining, // It can reach the platform again, but has not registered yet.
+    Registered, // Its lease is valid; changes need its confirmation.
+    Unregistered, // Its lease has expired; it doesn't register within 2 * ServingOptions::promise.
+    Rejoining, // It reaches the platform again, but has not registered yet.
 };
 
 const char *toString(Registration registration);
 
-// One peer as last heard from.
+// A peer's state as last received.
 struct PeerState
 {
     DaemonId daemon;
@@ -27,8 +27,9 @@
     Endpoint administration;
     std::string incarnation; // New with each start of the process.
     Registration registration = Registration::Unregistered;
-    std::int64_t configVersion = 0; // Of the accepted configuration it has; 0 is none.
-    std::int64_t preparedVersion = 0; // Of a proposal it confirmed and knows no decision of; or 0.
+    std::int64_t configVersion = 0; // Of its accepted configuration; 0 if none.
+    std::int64_t preparedVersion =
+        0; // Of a proposal that it confirmed and whose decision it doesn't know; or 0.
     MonotonicTime heardAt; // By the local clock.
 };
 
--- a/ramphinge/membership/serving_gate.cpp
+++ b/ramphinge/membership/serving_gate.cpp
@@ -1,4 +1,4 @@
-// The decision whether to serve: see serving_gate.h.
+// The serving decision: see serving_gate.h.
 
 #include "ramphinge/membership/serving_gate.h"
 
@@ -41,11 +41,11 @@
 {
     if (input.configVersion == 0)
         return { ServingMode::Refusing, "no configuration has been learned yet", false };
-    const std::int64_t known = std::max(input.configVersion, input.preparedVersion);
+    const std::int64_t newestVersion = std::max(input.configVersion, input.preparedVersion);
     const bool undecided = input.preparedVersion > input.configVersion;
     if (input.registration.mayAct(input.now))
         return { ServingMode::Confirmed, "registered at the platform", undecided };
-    std::size_t together = input.roster.contains(input.self) ? 1 : 0;
+    std::size_t unregistered = input.roster.contains(input.self) ? 1 : 0;
     for (const PeerState &peer : input.zonePeers) {
         const bool fresh = input.now - peer.heardAt < options.promise;
         if (!fresh || !input.roster.contains(peer.daemon) || peer.daemon == input.self)
@@ -57,13 +57,13 @@
                      false };
         if (peer.registration != Registration::Unregistered)
             continue;
-        if (std::max(peer.configVersion, peer.preparedVersion) > known)
+        if (std::max(peer.configVersion, peer.preparedVersion) > newestVersion)
             return { ServingMode::Refusing,
                      peer.daemon.text() + " has a newer configuration, which is being fetched",
                      false };
-        ++together;
+        ++unregistered;
     }
-    if (together > 0 && 2 * together >= input.roster.daemons.size())
+    if (unregistered > 0 && 2 * unregistered >= input.roster.daemons.size())
         return { ServingMode::ZoneAlone,
                  "the platform is out of reach from the zone; no change can be accepted meanwhile",
                  undecided };
--- a/tools/mutation-check.sh
+++ b/tools/mutation-check.sh
@@ -51,11 +51,11 @@
 mutant "hosts of a draining replica are taken while busy" ramphinge/replicas/planner.cpp replicas \
     'return head == nullptr || head->idle || head->replica != planned.replica;' 'return true;'
 mutant "a lapsed daemon serves without half of its zone" ramphinge/membership/serving_gate.cpp membership \
-    'together > 0 && 2 * together >= input.roster.daemons.size()' 'together > 0'
+    'unregistered > 0 && 2 * unregistered >= input.roster.daemons.size()' 'unregistered > 0'
 mutant "old words of peers are believed" ramphinge/membership/serving_gate.cpp membership \
     'input.now - peer.heardAt < options.promise' 'true'
 mutant "a cut-off zone serves what its daemon happens to have" ramphinge/membership/serving_gate.cpp membership \
-    'std::max(peer.configVersion, peer.preparedVersion) > known' 'false'
+    'std::max(peer.configVersion, peer.preparedVersion) > newestVersion' 'false'
 mutant "a confirmed change is forgotten when cut off" ramphinge/membership/serving_gate.cpp membership \
     'const bool undecided = input.preparedVersion > input.configVersion;' 'const bool undecided = false;'
 mutant "a lease is renewed after its term" ramphinge/control/registrar.cpp control \
