--- a/ramphinge/claims/claim_table.cpp
+++ b/ramphinge/claims/claim_table.cpp
@@ -1,4 +1,4 @@
-// The owner's memory of idempotency keys: see claim_table.h.
+// A slot owner's table of idempotency keys: see claim_table.h.
 
 #include "ramphinge/claims/claim_table.h"
 
@@ -37,29 +37,29 @@
     : m_options(options), m_vouchesSince(vouchesSince)
 { }
 
-bool ClaimTable::vouches(const ClaimKey &key, const Clock &clock) const
+bool ClaimTable::isKnownUngranted(const ClaimKey &key, const Clock &clock) const
 {
     const WallTime now = clock.wallNow();
     const auto skew = std::chrono::duration_cast<Milliseconds>(m_options.clockSkew);
     const std::optional<KeyStamp> stamp = parseKeyStamp(key.key);
     if (!stamp) {
-        const bool noPredecessor = m_vouchesSince == WallTime();
+        const bool hadNoOtherOwner = m_vouchesSince == WallTime();
         const auto horizon = std::chrono::duration_cast<Milliseconds>(m_options.opaqueHorizon);
-        return noPredecessor || m_vouchesSince + horizon <= now;
+        return hadNoOtherOwner || m_vouchesSince + horizon <= now;
     }
     const auto retention = std::chrono::duration_cast<Milliseconds>(m_options.retention);
-    const bool fromTheFuture = stamp->birth > now + skew;
-    const bool mayBeForgotten = stamp->birth < now - retention;
-    const bool mayPredate =
+    const bool isFromTheFuture = stamp->birth > now + skew;
+    const bool mayBeExpired = stamp->birth < now - retention;
+    const bool mayPredateOwner =
         m_vouchesSince != WallTime() && stamp->birth <= m_vouchesSince + 2 * skew;
-    return !fromTheFuture && !mayBeForgotten && !mayPredate;
+    return !isFromTheFuture && !mayBeExpired && !mayPredateOwner;
 }
 
 ClaimAnswer ClaimTable::claim(const ClaimAttempt &attempt, Duration mayActFor, const Clock &clock)
 {
     if (mayActFor <= Duration::zero())
         return { ClaimVerdict::NotOwner, {}, std::nullopt };
-    forgetOld(clock);
+    removeExpired(clock);
     const auto found = m_index.find(attempt.key);
     if (found != m_index.end()) {
         const Entry &entry = *found->second;
@@ -67,10 +67,10 @@
             return { ClaimVerdict::KeyReused, {}, std::nullopt };
         return { entry.record.state, {}, entry.answer };
     }
-    if (!vouches(attempt.key, clock))
+    if (!isKnownUngranted(attempt.key, clock))
         return { ClaimVerdict::CantVouch, {}, std::nullopt };
     if (m_entries.size() >= m_options.maxEntries)
-        forgetOldest();
+        removeOldest();
     m_entries.push_back({ { attempt, ClaimVerdict::InProgress, clock.wallNow() }, {} });
     m_index[attempt.key] = std::prev(m_entries.end());
     return { ClaimVerdict::Granted, std::min(m_options.sendWindow, mayActFor), std::nullopt };
@@ -80,9 +80,9 @@
                         std::optional<KeptAnswer> answer, const Clock &clock)
 {
     auto found = m_index.find(attempt.key);
-    const bool other =
+    const bool isOtherAttempt =
         found != m_index.end() && found->second->record.attempt.claimant != attempt.claimant;
-    if (other)
+    if (isOtherAttempt)
         return;
     if (outcome == ClaimOutcome::NotSent) {
         if (found == m_index.end() || found->second->record.state != ClaimVerdict::InProgress)
@@ -104,37 +104,37 @@
 void ClaimTable::keep(Entry &entry, std::optional<KeptAnswer> answer)
 {
     if (entry.answer)
-        m_keptBytes -= entry.answer->body.size();
+        m_answerBytes -= entry.answer->body.size();
     entry.answer.reset();
     if (!answer || answer->body.size() > m_options.maxKeptAnswer)
         return;
-    m_keptBytes += answer->body.size();
+    m_answerBytes += answer->body.size();
     entry.answer = std::move(answer);
     for (Entry &older : m_entries) {
-        if (m_keptBytes <= m_options.maxKeptBytes)
+        if (m_answerBytes <= m_options.maxKeptBytes)
             break;
         if (older.answer)
-            m_keptBytes -= older.answer->body.size();
+            m_answerBytes -= older.answer->body.size();
         older.answer.reset();
     }
 }
 
-void ClaimTable::forgetOld(const Clock &clock)
+void ClaimTable::removeExpired(const Clock &clock)
 {
-    // A stamped key is refused once it is older than the retention, so its entry may go then; the
-    // skew covers a birth stamped by a clock ahead of this one.
+    // A stamped key older than the retention is refused, so its entry is no longer needed. The skew
+    // covers keys stamped by a clock ahead of this one.
     const auto age = std::chrono::duration_cast<Milliseconds>(
         m_options.retention + m_options.opaqueHorizon + 2 * m_options.clockSkew);
     while (!m_entries.empty() && m_entries.front().record.at < clock.wallNow() - age)
-        forgetOldest();
+        removeOldest();
 }
 
-void ClaimTable::forgetOldest()
+void ClaimTable::removeOldest()
 {
     const Entry &oldest = m_entries.front();
     if (oldest.answer)
-        m_keptBytes -= oldest.answer->body.size();
-    // Whatever is dropped early can't be vouched for any more, nor anything born before it.
+        m_answerBytes -= oldest.answer->body.size();
+    // Neither the removed key nor any key created before it can be known as ungranted any more.
     m_vouchesSince = std::max(m_vouchesSince, oldest.record.at);
     m_index.erase(oldest.record.attempt.key);
     m_entries.pop_front();
@@ -145,7 +145,7 @@
     if (m_index.count(attempt.key) > 0)
         return;
     if (m_entries.size() >= m_options.maxEntries)
-        forgetOldest();
+        removeOldest();
     m_entries.push_back({ { attempt, ClaimVerdict::InProgress, clock.wallNow() }, {} });
     m_index[attempt.key] = std::prev(m_entries.end());
 }
--- a/ramphinge/claims/claim_table.h
+++ b/ramphinge/claims/claim_table.h
@@ -1,8 +1,8 @@
-// What a slot's owner remembers of idempotency keys: who may run a request, and what came of it.
+// A slot owner's table of idempotency keys: which attempt may send its request, and the outcome.
 //
-// A request that may not be repeated is sent to an upstream only with a grant for its key, and a
-// key is granted at most once unless the holder says for certain that nothing was sent. The owner
-// grants only keys that no earlier owner can have granted (see KeyStamp and `vouchesSince`).
+// A request that may not be retried is sent to an upstream only with a grant for its key. A key is
+// granted at most once, unless the claimant reports that nothing was sent. The owner grants only
+// keys that no earlier owner can have granted (see KeyStamp and `vouchesSince`).
 //
 //   ClaimAnswer answer = table.claim(attempt, mayActFor, clock);
 //   if (answer.verdict == ClaimVerdict::Granted) ...send within answer.sendWithin...
@@ -21,7 +21,7 @@
 
 namespace ramphinge {
 
-// Account and key together; keys of two accounts never meet.
+// An idempotency key within an account: the same key of two accounts is two keys.
 struct ClaimKey
 {
     AccountId account;
@@ -33,33 +33,33 @@
     }
 };
 
-// One try of a request under a key.
+// One attempt to run a request under a key.
 struct ClaimAttempt
 {
     ClaimKey key;
-    std::uint64_t fingerprint = 0; // Of the request: the same key must mean the same.
-    RequestId claimant; // Unique to the try; only the granted one may give the key back.
+    std::uint64_t fingerprint = 0; // Hash of the request; must be the same for each use of a key.
+    RequestId claimant; // Unique to the attempt; only the granted attempt may settle the key.
 };
 
 enum class ClaimVerdict {
-    Granted, // Send it, once, before `sendBy`.
-    InProgress, // Granted before and not settled: it may be running.
-    Ran, // It ran; the answer is given back if it was kept.
-    Indeterminate, // It may have run; its answer was lost. It will not be run again.
+    Granted, // The request may be sent once, within `sendWithin`.
+    InProgress, // Granted before and not settled; may be running.
+    Ran, // Ran to its end; the answer is returned if it was kept.
+    Indeterminate, // May have run, and its answer was lost; won't be run again.
     CantVouch, // An earlier owner may have granted it.
-    KeyReused, // The same key with another request.
-    NotOwner, // This process does not own the slot (any more).
+    KeyReused, // The key was used for another request.
+    NotOwner, // This process doesn't own the slot, or not any more.
 };
 
 const char *toString(ClaimVerdict verdict);
 
 enum class ClaimOutcome {
-    NotSent, // Certainly not run; the key is free again.
+    NotSent, // Did not run; the key can be granted again.
     Ran, // Ran to its end.
     MayHaveRun,
 };
 
-// An answer as it can be given again.
+// A stored answer, to be returned to retries.
 struct KeptAnswer
 {
     int status = 200;
@@ -70,53 +70,57 @@
 struct ClaimAnswer
 {
     ClaimVerdict verdict = ClaimVerdict::NotOwner;
-    Duration sendWithin {}; // Granted: counted by the claimant from before it asked.
-    std::optional<KeptAnswer> kept; // Ran.
+    Duration sendWithin {}; // If Granted: counted from the moment before the claimant asked.
+    std::optional<KeptAnswer> kept; // If Ran.
 };
 
 struct ClaimTableOptions
 {
-    Duration sendWindow = std::chrono::seconds(2); // From the grant to the first byte sent.
-    Duration retention = std::chrono::hours(1); // Keys born earlier are refused.
-    Duration opaqueHorizon = std::chrono::minutes(10); // Within which callers repeat opaque keys.
-    Duration clockSkew = std::chrono::milliseconds(500); // Between any two hosts' wall clocks.
+    Duration sendWindow =
+        std::chrono::seconds(2); // From the request for a grant to the first byte sent.
+    Duration retention = std::chrono::hours(1); // Stamped keys older than this are refused.
+    Duration opaqueHorizon =
+        std::chrono::minutes(10); // Callers retry opaque keys within this time.
+    Duration clockSkew =
+        std::chrono::milliseconds(500); // Maximum between the wall clocks of any two hosts.
     std::size_t maxEntries = 200'000;
-    std::size_t maxKeptBytes = 8 * 1024 * 1024; // Of answers, over the whole table.
+    std::size_t maxKeptBytes = 8 * 1024 * 1024; // Bodies of kept answers, whole table.
     std::size_t maxKeptAnswer = 32 * 1024;
 };
 
-// One remembered key, as handed to a successor.
+// The state of a key, as handed over to the slot's next owner.
 struct ClaimRecord
 {
     ClaimAttempt attempt;
     ClaimVerdict state = ClaimVerdict::InProgress; // InProgress, Ran or Indeterminate.
-    WallTime at;
+    WallTime at; // When the key was recorded.
 };
 
-// Not thread-safe: lives on the control loop.
+// Not thread-safe: used on the control loop.
 class ClaimTable
 {
 public:
-    // `vouchesSince`: no other process granted keys of this slot after that time. The epoch time
-    // itself means that the slot never had another owner.
+    // `vouchesSince`: no other process granted keys of this slot after that time. The default value
+    // means that the slot never had another owner.
     ClaimTable(ClaimTableOptions options, WallTime vouchesSince);
 
-    // `mayActFor`: how long the owner's right to the slot lasts yet; zero if it has ended.
+    // `mayActFor`: remaining time for which the caller owns the slot; zero if it doesn't.
     ClaimAnswer claim(const ClaimAttempt &attempt, Duration mayActFor, const Clock &clock);
 
-    // Settles a granted key. A settlement of an unknown key is kept as what it says, so that one
-    // that outlives a change of owner still counts; one of another try than the granted is ignored.
+    // Records the outcome of a granted attempt. An outcome for an unknown key is stored (unless
+    // NotSent), so that it isn't lost when the owner changes. An outcome of another attempt than
+    // the granted one is ignored.
     void settle(const ClaimAttempt &attempt, ClaimOutcome outcome, std::optional<KeptAnswer> answer,
                 const Clock &clock);
 
-    // Remembers a grant that the owner is about to give: this table is its copy.
+    // For a replica of the owner's table: records a grant that the owner is about to give.
     void remember(const ClaimAttempt &attempt, const Clock &clock);
 
-    // Everything a successor must know.
+    // All keys, for the next owner.
     std::vector<ClaimRecord> records() const;
     WallTime vouchesSince() const { return m_vouchesSince; }
 
-    // Takes over a predecessor's records, which were frozen before they were sent.
+    // Adds the records of the previous owner, which stopped granting before it sent them.
     void adopt(const std::vector<ClaimRecord> &records);
 
     std::size_t size() const { return m_entries.size(); }
@@ -133,16 +137,17 @@
     };
     using Entries = std::list<Entry>; // Oldest first.
 
-    bool vouches(const ClaimKey &key, const Clock &clock) const;
-    void forgetOld(const Clock &clock);
-    void forgetOldest();
+    // Whether no owner, including this one, can have granted a key that isn't in the table.
+    bool isKnownUngranted(const ClaimKey &key, const Clock &clock) const;
+    void removeExpired(const Clock &clock);
+    void removeOldest();
     void keep(Entry &entry, std::optional<KeptAnswer> answer);
 
     ClaimTableOptions m_options;
-    WallTime m_vouchesSince; // Never falls.
+    WallTime m_vouchesSince; // Never decreases.
     Entries m_entries;
     std::unordered_map<ClaimKey, Entries::iterator, KeyHash> m_index;
-    std::size_t m_keptBytes = 0;
+    std::size_t m_answerBytes = 0;
 };
 
 } // namespace ramphinge
--- a/ramphinge/claims/claims_test.cpp
+++ b/ramphinge/claims/claims_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the at-most-once decisions: grants, settlements, changes of owner, and a model-based run
-// over random owners' lives that checks that no key is granted twice unless nothing was sent.
+// Tests of at-most-once execution: grants, outcomes, changes of owner, and a random simulation
+// which checks that no key is granted again after its request was sent.
 
 #include <rapidcheck.h>
 
@@ -27,26 +27,26 @@
 class ClaimsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ClaimsTest);
-    CPPUNIT_TEST(stampSurvivesItsTextForm);
+    CPPUNIT_TEST(stampedKeyParsesToItsZoneAndTime);
     CPPUNIT_TEST(malformedStampsAreOpaque);
-    CPPUNIT_TEST(secondTryIsNotGranted);
-    CPPUNIT_TEST(unsentKeyIsFreeAgain);
-    CPPUNIT_TEST(lateWordOfAnotherTryFreesNothing);
-    CPPUNIT_TEST(ranKeyGivesItsAnswerBack);
+    CPPUNIT_TEST(secondAttemptIsNotGranted);
+    CPPUNIT_TEST(unsentKeyCanBeGrantedAgain);
+    CPPUNIT_TEST(lateOutcomeOfAnotherAttemptIsIgnored);
+    CPPUNIT_TEST(keyThatRanReturnsItsAnswer);
     CPPUNIT_TEST(otherRequestUnderTheSameKeyIsRefused);
-    CPPUNIT_TEST(lapsedOwnerGrantsNothing);
-    CPPUNIT_TEST(grantEndsWithTheOwnersRight);
-    CPPUNIT_TEST(newOwnerRefusesWhatMayPredateIt);
-    CPPUNIT_TEST(keysFromTheFutureAreNotVouchedFor);
+    CPPUNIT_TEST(ownerWithExpiredLeaseGrantsNothing);
+    CPPUNIT_TEST(grantEndsWithTheOwnersTerm);
+    CPPUNIT_TEST(newOwnerRefusesKeysThatMayPredateIt);
+    CPPUNIT_TEST(keysFromTheFutureAreRefused);
     CPPUNIT_TEST(newOwnerRefusesOpaqueKeysForTheirHorizon);
-    CPPUNIT_TEST(adoptedRecordsAreRemembered);
-    CPPUNIT_TEST(forgettingRaisesWhatIsVouchedFor);
+    CPPUNIT_TEST(adoptedKeysAreNotGrantedAgain);
+    CPPUNIT_TEST(removalOfAnEntryRefusesOlderKeys);
     CPPUNIT_TEST(keptAnswersAreBounded);
-    CPPUNIT_TEST(atMostOneGrantOverRandomOwners);
+    CPPUNIT_TEST(keyIsSentAtMostOnceOverRandomOwners);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void stampSurvivesItsTextForm()
+    void stampedKeyParsesToItsZoneAndTime()
     {
         Random random(1);
         const IdempotencyKey key = makeStampedKey(zone, m_clock.wallNow(), random);
@@ -62,7 +62,7 @@
             CPPUNIT_ASSERT(!parseKeyStamp(IdempotencyKey(text)));
     }
 
-    void secondTryIsNotGranted()
+    void secondAttemptIsNotGranted()
     {
         ClaimTable table({}, WallTime());
         CPPUNIT_ASSERT(ClaimVerdict::Granted == claim(table, "k"));
@@ -71,22 +71,23 @@
         CPPUNIT_ASSERT(ClaimVerdict::Indeterminate == claim(table, "k"));
     }
 
-    void unsentKeyIsFreeAgain()
+    void unsentKeyCanBeGrantedAgain()
     {
         ClaimTable table({}, WallTime());
         claim(table, "k");
         table.settle(keyNamed("k"), ClaimOutcome::NotSent, {}, m_clock);
         CPPUNIT_ASSERT(ClaimVerdict::Granted == claim(table, "k"));
         table.settle(keyNamed("k"), ClaimOutcome::Ran, {}, m_clock);
-        // A late "not sent" of an earlier attempt must not free what has run.
+        // A late NotSent must not make a key that ran grantable again.
         table.settle(keyNamed("k"), ClaimOutcome::NotSent, {}, m_clock);
         CPPUNIT_ASSERT(ClaimVerdict::Ran == claim(table, "k"));
     }
 
-    void lateWordOfAnotherTryFreesNothing()
+    void lateOutcomeOfAnotherAttemptIsIgnored()
     {
         ClaimTable table({}, WallTime());
-        // The first try's grant is lost on its way; its "not sent" frees the key for the second.
+        // The first attempt's grant is lost on its way; its NotSent lets the second be granted. The
+        // duplicate of that NotSent must not release the second attempt's grant.
         claim(table, "k");
         table.settle(keyNamed("k", "try1"), ClaimOutcome::NotSent, {}, m_clock);
         CPPUNIT_ASSERT(ClaimVerdict::Granted
@@ -96,7 +97,7 @@
                        == table.claim(keyNamed("k", "try3"), longTerm, m_clock).verdict);
     }
 
-    void ranKeyGivesItsAnswerBack()
+    void keyThatRanReturnsItsAnswer()
     {
         ClaimTable table({}, WallTime());
         claim(table, "k");
@@ -115,21 +116,21 @@
                        == table.claim(keyNamed("k", "try2", 2), longTerm, m_clock).verdict);
     }
 
-    void lapsedOwnerGrantsNothing()
+    void ownerWithExpiredLeaseGrantsNothing()
     {
         ClaimTable table({}, WallTime());
         CPPUNIT_ASSERT(ClaimVerdict::NotOwner
                        == table.claim(keyNamed("k"), Duration::zero(), m_clock).verdict);
     }
 
-    void grantEndsWithTheOwnersRight()
+    void grantEndsWithTheOwnersTerm()
     {
         ClaimTable table({}, WallTime());
         const auto answer = table.claim(keyNamed("k"), std::chrono::milliseconds(300), m_clock);
         CPPUNIT_ASSERT(answer.sendWithin == Duration(std::chrono::milliseconds(300)));
     }
 
-    void newOwnerRefusesWhatMayPredateIt()
+    void newOwnerRefusesKeysThatMayPredateIt()
     {
         Random random(1);
         const IdempotencyKey before = makeStampedKey(zone, m_clock.wallNow(), random);
@@ -144,9 +145,9 @@
         CPPUNIT_ASSERT(ClaimVerdict::Granted == claim(table, after.text()));
     }
 
-    void keysFromTheFutureAreNotVouchedFor()
+    void keysFromTheFutureAreRefused()
     {
-        // Granted now, it would look new to the next owner too.
+        // If it were granted, the next owner would take it for created after its own start.
         Random random(1);
         ClaimTable table({}, WallTime());
         const IdempotencyKey ahead =
@@ -162,7 +163,7 @@
         CPPUNIT_ASSERT(ClaimVerdict::Granted == claim(table, "opaque"));
     }
 
-    void adoptedRecordsAreRemembered()
+    void adoptedKeysAreNotGrantedAgain()
     {
         ClaimTable old({}, WallTime());
         claim(old, "k");
@@ -172,7 +173,7 @@
         CPPUNIT_ASSERT(ClaimVerdict::Granted == claim(next, "other"));
     }
 
-    void forgettingRaisesWhatIsVouchedFor()
+    void removalOfAnEntryRefusesOlderKeys()
     {
         Random random(3);
         ClaimTableOptions options;
@@ -202,7 +203,7 @@
         CPPUNIT_ASSERT(table.claim(keyNamed("b"), longTerm, m_clock).kept);
     }
 
-    void atMostOneGrantOverRandomOwners()
+    void keyIsSentAtMostOnceOverRandomOwners()
     {
         const bool held = rc::check("a key runs at most once over changes of owner", [] {
             const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -217,8 +218,8 @@
         return table.claim(keyNamed(key), longTerm, m_clock).verdict;
     }
 
-    // Owners follow each other, by crash (memory lost) or handover; callers with skewed clocks make
-    // keys and try each several times. Counts how often each key was granted and sent.
+    // Owners change by crash (their table is lost) or handover; callers with skewed clocks create
+    // keys and use each several times. Counts how often a request was sent for each key.
     static void runOwners(std::uint32_t seed)
     {
         Random random(seed);
@@ -227,7 +228,7 @@
         options.maxEntries = 20;
         ClaimTable owner(options, WallTime());
         std::vector<ClaimAttempt> keys;
-        std::unordered_map<std::string, int> sent;
+        std::unordered_map<std::string, int> sendCount;
         for (int step = 0; step < 300; ++step) {
             clock.advance(std::chrono::milliseconds(random.below(400)));
             if (random.below(20) == 0) {
@@ -238,7 +239,7 @@
                 owner = std::move(next);
             }
             if (keys.empty() || random.below(3) == 0) {
-                // Mostly within the skew that is allowed for; now and then a clock is quite wrong.
+                // Mostly within the allowed skew, sometimes far beyond it.
                 const int limit = random.below(10) == 0 ? 20'000 : 500;
                 const int skew = static_cast<int>(random.below(2 * limit + 1)) - limit;
                 const WallTime skewed = clock.wallNow() + std::chrono::milliseconds(skew);
@@ -247,13 +248,13 @@
             const ClaimAttempt &key = keys[random.below(keys.size())];
             if (owner.claim(key, longTerm, clock).verdict != ClaimVerdict::Granted)
                 continue;
-            const std::uint64_t end = random.below(4);
-            if (end == 0) {
+            const std::uint64_t outcome = random.below(4);
+            if (outcome == 0) {
                 owner.settle(key, ClaimOutcome::NotSent, {}, clock);
                 continue;
             }
-            RC_ASSERT(++sent[key.key.key.text()] == 1);
-            if (end == 1)
+            RC_ASSERT(++sendCount[key.key.key.text()] == 1);
+            if (outcome == 1)
                 owner.settle(key, ClaimOutcome::Ran, {}, clock);
         }
     }
--- a/ramphinge/claims/key_stamp.cpp
+++ b/ramphinge/claims/key_stamp.cpp
@@ -24,7 +24,7 @@
     const std::string &text = key.text();
     if (text.compare(0, stampPrefix.size(), stampPrefix) != 0)
         return std::nullopt;
-    // The zone may contain dashes; birth and random part may not.
+    // The zone may contain dashes; the birth time and the random part can't.
     const std::size_t last = text.rfind('-');
     const std::size_t middle = last == 0 ? std::string::npos : text.rfind('-', last - 1);
     if (middle == std::string::npos || middle <= stampPrefix.size())
--- a/ramphinge/claims/key_stamp.h
+++ b/ramphinge/claims/key_stamp.h
@@ -1,7 +1,8 @@
-// Idempotency keys that carry where and when they were made: "rk1-<zone>-<birth ms, hex>-<random>".
+// Idempotency keys that carry the zone and time of their creation:
+// "rk1-<zone>-<birth ms, hex>-<random>".
 //
-// A new owner of a key's slot has no memory of what its predecessor granted. A birth time lets it
-// vouch at once for every key born after it took over, and refuse only what may predate it.
+// The new owner of a slot doesn't know which keys its predecessor granted. With the creation time
+// it can grant every key that was created after it became the owner, and refuses only older ones.
 
 #pragma once
 
@@ -19,10 +20,9 @@
     WallTime birth;
 };
 
-// Nothing if the key carries no stamp; such a key is opaque.
+// Nullopt if the key has no valid stamp; such a key is opaque.
 std::optional<KeyStamp> parseKeyStamp(const IdempotencyKey &key);
 
-// A new stamped key.
 IdempotencyKey makeStampedKey(const ZoneId &zone, WallTime now, Random &random);
 
 } // namespace ramphinge
--- a/ramphinge/claims/slots.h
+++ b/ramphinge/claims/slots.h
@@ -1,4 +1,5 @@
-// Which owner a key belongs to: a home zone, and one of a few slots in it.
+// Maps idempotency keys to slots: a home zone, and a slot number within it. Each slot has one
+// owner.
 
 #pragma once
 
@@ -26,11 +27,12 @@
     }
 };
 
-// A stamped key belongs to the zone that made it, so that a zone cut off serves its own; an opaque
-// one to a zone by its hash. `zones` are all zones of the settings, in any order.
+// A stamped key belongs to the zone that created it, so that a partitioned zone can serve its own
+// keys; an opaque key to a zone chosen by its hash. `zones` are all configured zones, in any order;
+// not empty.
 SlotId slotOf(const ClaimKey &key, const std::vector<ZoneId> &zones, int slotsPerZone);
 
-// The daemon that should hold a slot, of those alive: by rendezvous hashing. `alive` is not empty.
+// The daemon that should own a slot, chosen by rendezvous hashing. `alive` is not empty.
 DaemonId preferredHolder(const SlotId &slot, const std::vector<DaemonId> &alive);
 
 } // namespace ramphinge
--- a/tools/mutation-check.sh
+++ b/tools/mutation-check.sh
@@ -36,11 +36,11 @@
 mutant "a new owner vouches for old keys" ramphinge/claims/claim_table.cpp claims \
     'stamp->birth <= m_vouchesSince + 2 * skew' 'false'
 mutant "keys from the future are granted" ramphinge/claims/claim_table.cpp claims \
-    'return !fromTheFuture && ' 'return '
+    'return !isFromTheFuture && ' 'return '
 mutant "forgetting does not raise what is vouched for" ramphinge/claims/claim_table.cpp claims \
     'm_vouchesSince = std::max(m_vouchesSince, oldest.record.at);' ''
 mutant "a late word of another try frees a key" ramphinge/claims/claim_table.cpp claims \
-    '    if (other)
+    '    if (isOtherAttempt)
         return;' ''
 mutant "a replica is ready before all hosts confirm" ramphinge/replicas/planner.cpp replicas \
     'planned.phase == ReplicaPhase::Forming && allConfirm(planned)' 'planned.phase == ReplicaPhase::Forming'
