--- a/ramphinge/replicas/plan.cpp
+++ b/ramphinge/replicas/plan.cpp
@@ -68,7 +68,7 @@
             || planned.hosts.empty())
             return Error(ErrorKind::Internal,
                          "replica " + planned.replica.text()
-                             + " stands twice, has no host, or is newer than its plan;"
+                             + " appears twice, has no host, or has a newer epoch than the plan;"
                                " the plan is not used");
         for (const HostId &host : planned.hosts) {
             if (!hosts.insert(host).second)
@@ -116,8 +116,8 @@
                 planned.hosts.emplace_back(host.get<std::string>());
             plan.replicas.push_back(std::move(planned));
         }
-        if (const Status sound = checkPlan(plan); !sound.ok())
-            return Error(ErrorKind::InvalidInput, sound.error().message());
+        if (const Status valid = checkPlan(plan); !valid.ok())
+            return Error(ErrorKind::InvalidInput, valid.error().message());
         return plan;
     } catch (const Json::exception &e) {
         return Error(ErrorKind::InvalidInput, std::string("a stored plan is damaged: ") + e.what());
--- a/ramphinge/replicas/plan.h
+++ b/ramphinge/replicas/plan.h
@@ -1,8 +1,8 @@
-// The plan of one availability zone: which hosts form which replica. Written with compare-and-swap
-// by whoever holds the zone's planner lease; read by everyone.
+// The plan of an availability zone: which hosts form which replica. Written with compare-and-swap
+// by the holder of the zone's planner lease; read by all daemons.
 //
-// Epochs are fencing tokens: the plan's grows with each write, and a replica carries the plan epoch
-// at which its present forming began. Orders to hosts carry it.
+// Epochs are fencing tokens: the plan's epoch grows with each write, and a replica has the plan
+// epoch at which its present formation began. Orders to hosts carry the replica's epoch.
 
 #pragma once
 
@@ -15,23 +15,25 @@
 namespace ramphinge {
 
 enum class ReplicaPhase {
-    Forming, // Hosts were ordered; not all have been read back as loaded members.
-    Ready, // Every host was read back; requests may go there.
-    Draining, // Gets nothing new; its requests end, then its hosts are free.
-    Broken, // A host is missing; gets nothing; keeps its other hosts while it waits for repair.
+    Forming, // Not every host has confirmed yet that it is a loaded member.
+    Ready, // Every host has confirmed; requests may be sent to it.
+    Draining, // Gets no new requests; its hosts become free when those in flight have ended.
+    Broken, // A host is missing or contradicts the plan; gets no requests; keeps its hosts until it
+            // is repaired.
 };
 
 const char *toString(ReplicaPhase phase);
 
 struct PlannedReplica
 {
-    ReplicaId replica; // Stable over re-forming: model, zone and a number.
+    ReplicaId replica; // Stays the same when formed again: model, zone and a number.
     ModelId model;
     DomainId domain; // Invariant: all hosts are in this fabric domain.
-    Epoch epoch; // Of the present forming.
+    Epoch epoch; // Of the present formation.
     ReplicaPhase phase = ReplicaPhase::Forming;
-    bool surplus = false; // More than what was asked for: made of hosts that would be idle.
-    std::vector<HostId> hosts; // Rank order; rank 0 takes the requests.
+    bool surplus =
+        false; // Beyond the demanded count; formed of hosts that would be idle otherwise.
+    std::vector<HostId> hosts; // In rank order; rank 0 receives the requests.
 };
 
 struct ReplicaPlan
@@ -45,13 +47,14 @@
     const PlannedReplica *replicaOf(const HostId &host) const;
 };
 
-// The invariants of every plan: no host in two replicas, no host twice in one, no epoch above the
-// plan's. Checked before each write and after each read. Errors: Internal, naming the host.
+// Checks the invariants of a plan: each host and each replica appears once, no replica is without
+// hosts or has an epoch above the plan's. Called before each write and after each read. Errors:
+// Internal, naming the host or replica.
 Status checkPlan(const ReplicaPlan &plan);
 
 std::string serialize(const ReplicaPlan &plan);
 
-// Errors: InvalidInput; also if the plan breaks an invariant.
+// Errors: InvalidInput, also if the plan violates an invariant.
 Result<ReplicaPlan> parsePlan(const std::string &text);
 
 } // namespace ramphinge
--- a/ramphinge/replicas/planner.cpp
+++ b/ramphinge/replicas/planner.cpp
@@ -1,5 +1,4 @@
-// Replica planning: see planner.h. The order of the steps below is the order in which a plan
-// changes.
+// Replica planning: see planner.h. PlanningPass::run() lists the steps in order.
 
 #include "ramphinge/replicas/planner.h"
 
@@ -34,11 +33,12 @@
     return hosts;
 }
 
-// One planning pass. Works on a copy of the plan and remembers whether it changed.
-class Pass
+// One planning pass over a copy of the plan; records whether the copy changed.
+class PlanningPass
 {
 public:
-    Pass(const ReplicaPlan &current, const PlannerInput &input, const PlannerOptions &options)
+    PlanningPass(const ReplicaPlan &current, const PlannerInput &input,
+                 const PlannerOptions &options)
         : m_input(input), m_options(options), m_hosts(mapOf(input)), m_plan(current),
           m_nextEpoch(current.epoch + Epoch(1))
     {
@@ -55,8 +55,8 @@
             dissolveAll();
         promoteReady();
         drainLeaving();
-        dropDrained();
-        dropUnwanted();
+        removeDrained();
+        retireUnneeded();
         repairBroken();
         formMissing();
         if (m_options.objective == Objective::StrandedAccelerators
@@ -98,8 +98,8 @@
         return true;
     }
 
-    // A replica that lacks a host, or one of whose hosts is no more what the plan says, can't
-    // serve.
+    // A replica with a missing host, or a ready one with a host whose state differs from the plan,
+    // can't serve.
     void markBroken()
     {
         for (PlannedReplica &planned : m_plan.replicas) {
@@ -145,7 +145,7 @@
         return head == nullptr || head->idle || head->replica != planned.replica;
     }
 
-    void dropDrained()
+    void removeDrained()
     {
         eraseIf([this](const PlannedReplica &planned) {
             return planned.phase == ReplicaPhase::Draining && hasDrained(planned);
@@ -168,8 +168,8 @@
         return nullptr;
     }
 
-    // How much a replica counts: broken ones go first when there are too many.
-    static int keepRank(const PlannedReplica &planned)
+    // When there are too many replicas, those with the lowest priority are removed first.
+    static int retentionPriority(const PlannedReplica &planned)
     {
         switch (planned.phase) {
         case ReplicaPhase::Ready:
@@ -184,7 +184,7 @@
         return 0;
     }
 
-    void dropUnwanted()
+    void retireUnneeded()
     {
         std::map<ModelId, std::vector<PlannedReplica *>> byModel;
         for (PlannedReplica &planned : m_plan.replicas) {
@@ -193,12 +193,13 @@
         }
         for (auto &[model, replicas] : byModel) {
             const ReplicaNeed *need = needOf(model);
-            const std::size_t wanted = need == nullptr ? 0 : static_cast<std::size_t>(need->count);
+            const std::size_t demanded =
+                need == nullptr ? 0 : static_cast<std::size_t>(need->count);
             std::stable_sort(replicas.begin(), replicas.end(),
                              [](const PlannedReplica *a, const PlannedReplica *b) {
-                                 return keepRank(*a) > keepRank(*b);
+                                 return retentionPriority(*a) > retentionPriority(*b);
                              });
-            for (std::size_t i = wanted; i < replicas.size(); ++i)
+            for (std::size_t i = demanded; i < replicas.size(); ++i)
                 retire(*replicas[i]);
         }
         for (PlannedReplica &planned : m_plan.replicas) {
@@ -211,7 +212,7 @@
         eraseIf([](const PlannedReplica &planned) { return planned.hosts.empty(); });
     }
 
-    // Ready replicas drain; others hold no request and go at once.
+    // Drains ready replicas; others have no requests and are removed at once.
     void retire(PlannedReplica &planned)
     {
         if (planned.phase == ReplicaPhase::Ready || planned.phase == ReplicaPhase::Draining) {
@@ -261,14 +262,14 @@
         return loading;
     }
 
-    bool mayLoad(int hosts) const
+    bool canLoad(int hosts) const
     {
         const int loading = loadingHosts();
         return loading == 0 || loading + hosts <= m_options.maxLoadingHosts;
     }
 
-    // Hosts that already hold the model first: they need not load it again.
-    void preferLoaded(std::vector<HostId> &hosts, const ModelId &model) const
+    // Moves hosts that have loaded the model to the front: they need not load it again.
+    void moveLoadedToFront(std::vector<HostId> &hosts, const ModelId &model) const
     {
         std::stable_partition(hosts.begin(), hosts.end(), [&](const HostId &host) {
             const HostState &state = m_hosts.at(host);
@@ -317,27 +318,27 @@
     {
         PlannedReplica *planned = find(replica);
         if (planned == nullptr)
-            return; // It has given its hosts to another meanwhile.
-        const auto gone = [this](const HostId &host) {
+            return; // It was removed to give its hosts to another replica.
+        const auto isUnavailable = [this](const HostId &host) {
             const HostState *state = stateOf(m_hosts, host);
             return state == nullptr || state->leaving;
         };
-        const auto missing =
-            static_cast<int>(std::count_if(planned->hosts.begin(), planned->hosts.end(), gone));
+        const auto missing = static_cast<int>(
+            std::count_if(planned->hosts.begin(), planned->hosts.end(), isUnavailable));
         if (missing == 0) {
-            beginForming(*planned); // Its host came back; the group must be joined anew.
+            beginForming(*planned); // Its host is back; all hosts must join the group again.
             return;
         }
-        if (m_options.baseline == Baseline::NeverMove || !mayLoad(missing))
+        if (m_options.baseline == Baseline::NeverMove || !canLoad(missing))
             return;
         if (missing == static_cast<int>(planned->hosts.size())) {
-            drop(replica); // Nothing is left to repair; formMissing looks for a place.
+            remove(replica); // No host is left; formMissing() forms it elsewhere.
             return;
         }
         std::vector<HostId> spares = freeIn(planned->domain);
-        preferLoaded(spares, planned->model);
+        moveLoadedToFront(spares, planned->model);
         if (static_cast<int>(spares.size()) < missing)
-            borrow(*planned, missing - static_cast<int>(spares.size()), spares);
+            takeHostsOfLessImportant(*planned, missing - static_cast<int>(spares.size()), spares);
         planned = find(replica);
         if (static_cast<int>(spares.size()) >= missing) {
             substitute(*planned, spares);
@@ -345,8 +346,8 @@
         }
         if (planned->surplus || canFormElsewhere(*planned)
             || (m_options.objective == Objective::StrandedAccelerators
-                && helpsOthers(*planned, missing)))
-            drop(replica);
+                && wouldCompleteAnother(*planned, missing)))
+            remove(replica);
     }
 
     void substitute(PlannedReplica &planned, const std::vector<HostId> &spares)
@@ -360,29 +361,31 @@
         beginForming(planned);
     }
 
-    // Takes hosts of the least important replica of the domain that is worth less than this one.
-    // That replica is down from then on, so it pays only if it matters less.
-    void borrow(const PlannedReplica &taker, int count, std::vector<HostId> &spares)
+    // Takes the hosts of the least important replica of the domain. As that replica is then down,
+    // it must be less important than the replica to repair.
+    void takeHostsOfLessImportant(const PlannedReplica &recipient, int count,
+                                  std::vector<HostId> &spares)
     {
-        const int worth = importanceOf(taker);
-        PlannedReplica *giver = nullptr;
+        const int importance = importanceOf(recipient);
+        PlannedReplica *donor = nullptr;
         for (PlannedReplica &planned : m_plan.replicas) {
-            const bool fit = planned.replica != taker.replica && planned.domain == taker.domain
-                && planned.phase != ReplicaPhase::Draining && importanceOf(planned) < worth
+            const bool isCandidate = planned.replica != recipient.replica
+                && planned.domain == recipient.domain && planned.phase != ReplicaPhase::Draining
+                && importanceOf(planned) < importance
                 && liveHosts(planned).size() >= static_cast<std::size_t>(count);
-            if (fit && (giver == nullptr || importanceOf(planned) < importanceOf(*giver)))
-                giver = &planned;
+            if (isCandidate && (donor == nullptr || importanceOf(planned) < importanceOf(*donor)))
+                donor = &planned;
         }
-        if (giver == nullptr)
+        if (donor == nullptr)
             return;
-        // A serving giver drains first; the taker gets its hosts once they are idle.
-        if (giver->phase == ReplicaPhase::Ready) {
-            setPhase(*giver, ReplicaPhase::Draining);
+        // A ready donor drains first; its hosts become available when they are idle.
+        if (donor->phase == ReplicaPhase::Ready) {
+            setPhase(*donor, ReplicaPhase::Draining);
             return;
         }
-        const std::vector<HostId> hosts = liveHosts(*giver);
+        const std::vector<HostId> hosts = liveHosts(*donor);
         spares.insert(spares.end(), hosts.begin(), hosts.end());
-        drop(giver->replica);
+        remove(donor->replica);
     }
 
     std::vector<HostId> liveHosts(const PlannedReplica &planned) const
@@ -405,23 +408,23 @@
         return false;
     }
 
-    // Whether giving up this replica's hosts would complete another broken one of its domain.
-    bool helpsOthers(const PlannedReplica &planned, int missing) const
+    // Whether the hosts of this replica would complete another broken replica of its domain.
+    bool wouldCompleteAnother(const PlannedReplica &planned, int missing) const
     {
         for (const PlannedReplica &other : m_plan.replicas) {
             const bool candidate = other.replica != planned.replica
                 && other.domain == planned.domain && other.phase == ReplicaPhase::Broken;
             if (!candidate)
                 continue;
-            const std::size_t lacking = other.hosts.size() - liveHosts(other).size();
-            if (lacking <= static_cast<std::size_t>(missing)
-                && lacking <= liveHosts(planned).size())
+            const std::size_t missingHosts = other.hosts.size() - liveHosts(other).size();
+            if (missingHosts <= static_cast<std::size_t>(missing)
+                && missingHosts <= liveHosts(planned).size())
                 return true;
         }
         return false;
     }
 
-    void drop(const ReplicaId &replica)
+    void remove(const ReplicaId &replica)
     {
         eraseIf([&replica](const PlannedReplica &planned) { return planned.replica == replica; });
     }
@@ -434,9 +437,10 @@
         return all;
     }
 
-    // The domain whose free hosts fit most tightly, so that large gaps stay for large replicas; one
-    // that holds the model already is taken first.
-    std::vector<HostId> placeFor(const ReplicaNeed &need) const
+    // Best fit: hosts of the domain with the fewest sufficient free hosts, so that large
+    // groups of free hosts remain for large replicas. Prefers hosts of it that have loaded the
+    // model.
+    std::vector<HostId> findHostsFor(const ReplicaNeed &need) const
     {
         std::vector<HostId> best;
         for (const DomainId &domain : domains()) {
@@ -446,13 +450,13 @@
             if (best.empty() || free.size() < best.size())
                 best = std::move(free);
         }
-        preferLoaded(best, need.model);
+        moveLoadedToFront(best, need.model);
         if (!best.empty())
             best.resize(static_cast<std::size_t>(need.hostsPerReplica));
         return best;
     }
 
-    int presentCount(const ModelId &model) const
+    int activeCount(const ModelId &model) const
     {
         return static_cast<int>(std::count_if(m_plan.replicas.begin(), m_plan.replicas.end(),
                                               [&model](const PlannedReplica &planned) {
@@ -465,20 +469,20 @@
     {
         for (const ReplicaNeed &need : m_needs) {
             adoptSurplus(need);
-            while (presentCount(need.model) < need.count && mayLoad(need.hostsPerReplica)) {
+            while (activeCount(need.model) < need.count && canLoad(need.hostsPerReplica)) {
                 if (!form(need, false))
                     break;
             }
-            if (presentCount(need.model) < need.count)
-                freeSurplusFor(need);
+            if (activeCount(need.model) < need.count)
+                retireSurplusFor(need);
         }
     }
 
-    // A surplus replica of the wanted model simply becomes a wanted one.
+    // Counts surplus replicas of the demanded model as demanded ones.
     void adoptSurplus(const ReplicaNeed &need)
     {
         for (PlannedReplica &planned : m_plan.replicas) {
-            if (presentCount(need.model) >= need.count)
+            if (activeCount(need.model) >= need.count)
                 return;
             if (planned.surplus && planned.model == need.model
                 && planned.phase != ReplicaPhase::Draining) {
@@ -488,16 +492,18 @@
         }
     }
 
-    // Drains one surplus replica in a domain where that makes room.
-    void freeSurplusFor(const ReplicaNeed &need)
+    // Retires one surplus replica whose hosts would make its domain's free hosts sufficient.
+    void retireSurplusFor(const ReplicaNeed &need)
     {
         for (PlannedReplica &planned : m_plan.replicas) {
             if (planned.phase == ReplicaPhase::Draining)
-                return; // Room is on its way.
+                return; // A draining replica frees hosts soon.
         }
         for (PlannedReplica &planned : m_plan.replicas) {
-            const std::size_t room = freeIn(planned.domain).size() + liveHosts(planned).size();
-            if (planned.surplus && room >= static_cast<std::size_t>(need.hostsPerReplica)) {
+            const std::size_t availableHosts =
+                freeIn(planned.domain).size() + liveHosts(planned).size();
+            if (planned.surplus
+                && availableHosts >= static_cast<std::size_t>(need.hostsPerReplica)) {
                 retire(planned);
                 break;
             }
@@ -505,14 +511,14 @@
         eraseIf([](const PlannedReplica &planned) { return planned.hosts.empty(); });
     }
 
-    // Idle hosts serve whichever model has the fewest replicas for its importance.
+    // Forms replicas of free hosts, for the most important model that fits.
     void formSurplus()
     {
         bool formed = true;
         while (formed) {
             formed = false;
             for (const ReplicaNeed &need : m_needs) {
-                if (need.count > 0 && mayLoad(need.hostsPerReplica) && form(need, true)) {
+                if (need.count > 0 && canLoad(need.hostsPerReplica) && form(need, true)) {
                     formed = true;
                     break;
                 }
@@ -522,11 +528,11 @@
 
     bool form(const ReplicaNeed &need, bool surplus)
     {
-        const std::vector<HostId> hosts = placeFor(need);
+        const std::vector<HostId> hosts = findHostsFor(need);
         if (hosts.empty())
             return false;
         PlannedReplica planned;
-        planned.replica = freshName(need.model);
+        planned.replica = unusedId(need.model);
         planned.model = need.model;
         planned.domain = m_hosts.at(hosts.front()).domain;
         planned.surplus = surplus;
@@ -536,12 +542,12 @@
         return true;
     }
 
-    ReplicaId freshName(const ModelId &model)
+    ReplicaId unusedId(const ModelId &model)
     {
         for (int number = 1;; ++number) {
-            ReplicaId name(model.text() + "/" + m_input.zone.text() + "/" + std::to_string(number));
-            if (m_plan.find(name) == nullptr)
-                return name;
+            ReplicaId id(model.text() + "/" + m_input.zone.text() + "/" + std::to_string(number));
+            if (m_plan.find(id) == nullptr)
+                return id;
         }
     }
 
@@ -568,7 +574,7 @@
 ReplicaPlan nextPlan(const ReplicaPlan &current, const PlannerInput &input,
                      const PlannerOptions &options)
 {
-    return Pass(current, input, options).run();
+    return PlanningPass(current, input, options).run();
 }
 
 std::vector<HostOrder> ordersFor(const ReplicaPlan &plan, const PlannerInput &input)
--- a/ramphinge/replicas/planner.h
+++ b/ramphinge/replicas/planner.h
@@ -1,11 +1,12 @@
-// Decides the next plan of a zone from the present one, what is wanted, and what is known of hosts.
+// Computes the next plan of a zone from the present plan, the demanded replicas and the hosts'
+// states.
 //
-// Pure: no clock, no I/O; equal inputs give equal plans. One call makes every change that is due;
-// the caller writes the result with compare-and-swap and sends orders only after the write took
-// effect.
+// Deterministic, without clock or I/O: equal inputs give equal plans. One call makes every change
+// that is due; the caller writes the result with compare-and-swap and sends orders only after the
+// write succeeded.
 //
-// Two objectives weigh a broken replica's ways of repair differently (see docs/design/replicas.md):
-// group downtime, and stranded accelerators.
+// The objective, group downtime or stranded accelerators, decides between the ways to repair a
+// broken replica (see docs/design/replicas.md).
 //
 //   ReplicaPlan next = nextPlan(current, input, options);
 //   if (next.epoch != current.epoch) write(next);
@@ -20,15 +21,15 @@
 
 namespace ramphinge {
 
-// A host as the planner sees it. Only live hosts are listed.
+// The planner's input about a host. Only live hosts are listed.
 struct HostState
 {
     HostId host;
     DomainId domain;
-    bool leaving = false; // Gets no new replica; its present one drains.
+    bool leaving = false; // Joins no new replica; its present replica drains.
     bool idle = false; // Has no request running or waiting.
 
-    // What the host said it is, last.
+    // The state that the host last reported.
     ReplicaId replica;
     Epoch epoch;
     int rank = -1;
@@ -36,13 +37,13 @@
     ModelId model;
 };
 
-// So many replicas of a model, wanted in this zone.
+// The number of replicas of a model that this zone should have.
 struct ReplicaNeed
 {
     ModelId model;
     int count = 0;
     int hostsPerReplica = 1;
-    int importance = 50;
+    int importance = 50; // Replicas of models with a higher value are formed and repaired first.
 };
 
 struct PlannerInput
@@ -55,38 +56,40 @@
 struct PlannerOptions
 {
     Objective objective = Objective::GroupDowntime;
-    // Hosts that may load weights at once: the weight store's rate limit over one host's rate.
+    // Maximum number of hosts that load weights at the same time: the weight store's rate limit
+    // divided by the rate of a host.
     int maxLoadingHosts = 64;
-    // Baselines for measurements: dissolve everything at each change, or never move a host.
+    // Baselines for measurements: rebuild all replicas whenever one breaks, or never replace
+    // a missing host.
     enum class Baseline { None, RebuildAll, NeverMove } baseline = Baseline::None;
 };
 
 ReplicaPlan nextPlan(const ReplicaPlan &current, const PlannerInput &input,
                      const PlannerOptions &options);
 
-// What a host must be told to be what the plan says.
+// An order to a host to join or leave a replica.
 struct HostOrder
 {
     HostId host;
-    ReplicaId replica; // Empty: leave whatever it is in.
+    ReplicaId replica; // Empty: leave the present replica.
     Epoch epoch;
     int rank = -1;
     ModelId model;
-    std::vector<HostId> peers; // The replica's other hosts; told to rank 0 only.
+    std::vector<HostId> peers; // The replica's other hosts; in the order to rank 0 only.
 };
 
-// Orders for every live host that is not what the plan says. Hosts of broken and draining replicas
-// are left alone.
+// Orders for every live host whose state differs from the plan. Hosts of ready, broken and draining
+// replicas get none.
 std::vector<HostOrder> ordersFor(const ReplicaPlan &plan, const PlannerInput &input);
 
-// Whether every host of the replica says that it is its member, at its epoch and rank, and loaded.
+// Whether every host of the replica reports that it is a member at the planned epoch and rank, and
+// has loaded the model.
 bool allHostsConfirm(const PlannedReplica &planned, const PlannerInput &input);
 
-// Healthy accelerators' hosts in no ready replica, and wanted replicas that can't serve.
 struct PlanQuality
 {
-    int strandedHosts = 0;
-    int replicasDown = 0;
+    int strandedHosts = 0; // Live hosts in no serving replica.
+    int replicasDown = 0; // Demanded replicas that can't serve.
 };
 PlanQuality qualityOf(const ReplicaPlan &plan, const PlannerInput &input);
 
--- a/ramphinge/replicas/replicas_test.cpp
+++ b/ramphinge/replicas/replicas_test.cpp
@@ -1,5 +1,5 @@
-// Tests of replica planning: the invariants over random days of failures, the ways of repair,
-// orders to hosts, and small cases against the exhaustive optimum.
+// Tests of replica planning: invariants over random failures, the ways of repair, orders to hosts,
+// and small cases against the known optimum.
 
 #include <map>
 #include <set>
@@ -25,11 +25,11 @@
     return state;
 }
 
-// Hosts that do as they are told at once.
-class ObedientHosts
+// Simulated hosts that execute orders at once.
+class SimulatedHosts
 {
 public:
-    explicit ObedientHosts(PlannerInput input) : m_input(std::move(input)) { }
+    explicit SimulatedHosts(PlannerInput input) : m_input(std::move(input)) { }
 
     PlannerInput &input() { return m_input; }
 
@@ -48,13 +48,13 @@
                              [&id](const HostState &state) { return state.host.text() == id; });
     }
 
-    void obey(const ReplicaPlan &plan)
+    void execute(const ReplicaPlan &plan)
     {
         for (const HostOrder &order : ordersFor(plan, m_input))
-            obey(order);
+            execute(order);
     }
 
-    void obey(const HostOrder &order)
+    void execute(const HostOrder &order)
     {
         HostState &state = (*this)[order.host.text()];
         state.replica = order.replica;
@@ -64,14 +64,14 @@
         state.loaded = true;
     }
 
-    // Plans and obeys until nothing changes.
+    // Alternates planning and execution until nothing changes.
     ReplicaPlan settle(ReplicaPlan plan, const PlannerOptions &options)
     {
         for (int i = 0; i < 20; ++i) {
             const ReplicaPlan next = nextPlan(plan, m_input, options);
             CPPUNIT_ASSERT(checkPlan(next).ok());
             const bool idle = ordersFor(next, m_input).empty();
-            obey(next);
+            execute(next);
             if (idle && next.epoch == plan.epoch)
                 return next;
             plan = next;
@@ -109,31 +109,31 @@
     CPPUNIT_TEST_SUITE(ReplicasTest);
     CPPUNIT_TEST(replicaBecomesReadyOnlyWhenEveryHostConfirms);
     CPPUNIT_TEST(replicaStaysInOneFabricDomain);
-    CPPUNIT_TEST(missingHostBreaksItAndASpareRepairsItAtANewEpoch);
-    CPPUNIT_TEST(withoutASpareItWaitsAndTakesTheReturningHostBack);
-    CPPUNIT_TEST(hostThatObeyedALateOrderBreaksItsReplica);
+    CPPUNIT_TEST(missingHostIsReplacedByASpareAtANewEpoch);
+    CPPUNIT_TEST(brokenReplicaWithoutSpareWaitsForItsHost);
+    CPPUNIT_TEST(hostThatExecutedALateOrderBreaksItsReplica);
     CPPUNIT_TEST(leavingHostDrainsItsReplicaBeforeItsHostsMove);
-    CPPUNIT_TEST(moreImportantModelBorrowsAfterDraining);
+    CPPUNIT_TEST(moreImportantModelTakesHostsAfterDraining);
     CPPUNIT_TEST(strandedObjectiveUsesIdleHosts);
     CPPUNIT_TEST(loadsAreLimitedToTheWeightStoresRate);
-    CPPUNIT_TEST(strayHostIsOrderedOut);
-    CPPUNIT_TEST(planSurvivesItsTextFormAndBadOnesAreRefused);
-    CPPUNIT_TEST(smallCasesMatchTheExhaustiveOptimum);
-    CPPUNIT_TEST(invariantsHoldOverRandomDays);
+    CPPUNIT_TEST(unplannedHostIsOrderedToLeave);
+    CPPUNIT_TEST(planSerializesAndInvalidPlansAreRejected);
+    CPPUNIT_TEST(smallCasesMatchTheOptimum);
+    CPPUNIT_TEST(invariantsHoldOverRandomFailures);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void replicaBecomesReadyOnlyWhenEveryHostConfirms()
     {
-        ObedientHosts hosts(twoDomains(2, 1, 2));
+        SimulatedHosts hosts(twoDomains(2, 1, 2));
         ReplicaPlan plan = nextPlan({}, hosts.input(), {});
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, plan.replicas.size());
         const std::vector<HostOrder> orders = ordersFor(plan, hosts.input());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, orders.size());
-        hosts.obey(orders[0]);
+        hosts.execute(orders[0]);
         plan = nextPlan(plan, hosts.input(), {});
         CPPUNIT_ASSERT_EQUAL(0, readyCount(plan));
-        hosts.obey(orders[1]);
+        hosts.execute(orders[1]);
         hosts[orders[1].host.text()].loaded = false;
         plan = nextPlan(plan, hosts.input(), {});
         CPPUNIT_ASSERT_EQUAL(0, readyCount(plan));
@@ -144,7 +144,7 @@
 
     void replicaStaysInOneFabricDomain()
     {
-        ObedientHosts hosts(twoDomains(3, 2, 2));
+        SimulatedHosts hosts(twoDomains(3, 2, 2));
         const ReplicaPlan plan = hosts.settle({}, {});
         CPPUNIT_ASSERT_EQUAL(2, readyCount(plan));
         for (const PlannedReplica &planned : plan.replicas) {
@@ -153,9 +153,9 @@
         }
     }
 
-    void missingHostBreaksItAndASpareRepairsItAtANewEpoch()
+    void missingHostIsReplacedByASpareAtANewEpoch()
     {
-        ObedientHosts hosts(twoDomains(3, 1, 2));
+        SimulatedHosts hosts(twoDomains(3, 1, 2));
         const ReplicaPlan before = hosts.settle({}, {});
         const PlannedReplica old = before.replicas[0];
         hosts.kill(old.hosts[1].text());
@@ -167,25 +167,25 @@
         CPPUNIT_ASSERT_EQUAL(1, readyCount(hosts.settle(after, {})));
     }
 
-    void withoutASpareItWaitsAndTakesTheReturningHostBack()
+    void brokenReplicaWithoutSpareWaitsForItsHost()
     {
-        ObedientHosts hosts(twoDomains(2, 2, 2));
+        SimulatedHosts hosts(twoDomains(2, 2, 2));
         const ReplicaPlan before = hosts.settle({}, {});
         const HostState lost = hosts["p1"];
         hosts.kill("p1");
         ReplicaPlan plan = hosts.settle(before, {});
         CPPUNIT_ASSERT_EQUAL(1, readyCount(plan));
-        hosts.input().hosts.push_back(lost); // As if nothing had happened.
+        hosts.input().hosts.push_back(lost); // It still reports its old membership.
         plan = nextPlan(plan, hosts.input(), {});
-        CPPUNIT_ASSERT_EQUAL(1, readyCount(plan)); // Not before it has joined anew.
+        CPPUNIT_ASSERT_EQUAL(1, readyCount(plan)); // Not before it has joined again.
         CPPUNIT_ASSERT_EQUAL(2, readyCount(hosts.settle(plan, {})));
     }
 
-    void hostThatObeyedALateOrderBreaksItsReplica()
+    void hostThatExecutedALateOrderBreaksItsReplica()
     {
-        ObedientHosts hosts(twoDomains(2, 1, 2));
+        SimulatedHosts hosts(twoDomains(2, 1, 2));
         const ReplicaPlan before = hosts.settle({}, {});
-        hosts.obey(
+        hosts.execute(
             HostOrder { before.replicas[0].hosts[1], ReplicaId("old"), Epoch(1), 0, modelM, {} });
         const ReplicaPlan after = nextPlan(before, hosts.input(), {});
         CPPUNIT_ASSERT_EQUAL(0, readyCount(after));
@@ -194,7 +194,7 @@
 
     void leavingHostDrainsItsReplicaBeforeItsHostsMove()
     {
-        ObedientHosts hosts(twoDomains(2, 1, 2));
+        SimulatedHosts hosts(twoDomains(2, 1, 2));
         const ReplicaPlan before = hosts.settle({}, {});
         const HostId head = before.replicas[0].hosts[0];
         hosts[before.replicas[0].hosts[1].text()].leaving = true;
@@ -202,21 +202,21 @@
         ReplicaPlan plan = nextPlan(before, hosts.input(), {});
         CPPUNIT_ASSERT(plan.find(before.replicas[0].replica)->phase == ReplicaPhase::Draining);
         CPPUNIT_ASSERT(plan.replicaOf(head)->replica == before.replicas[0].replica);
-        plan = hosts.settle(plan, {}); // Meanwhile the other domain takes over.
+        plan = hosts.settle(plan, {}); // Meanwhile the replica is formed in the other domain.
         CPPUNIT_ASSERT_EQUAL(1, readyCount(plan));
         hosts[head.text()].idle = true;
         plan = hosts.settle(plan, {});
         CPPUNIT_ASSERT(plan.replicaOf(head) == nullptr);
     }
 
-    void moreImportantModelBorrowsAfterDraining()
+    void moreImportantModelTakesHostsAfterDraining()
     {
         PlannerInput input;
         input.zone = ZoneId("a");
         for (int i = 0; i < 4; ++i)
             input.hosts.push_back(host("p" + std::to_string(i), "p"));
         input.needs = { { modelM, 1, 2, 90 }, { ModelId("less@1"), 1, 2, 10 } };
-        ObedientHosts hosts(input);
+        SimulatedHosts hosts(input);
         const ReplicaPlan before = hosts.settle({}, {});
         CPPUNIT_ASSERT_EQUAL(2, readyCount(before));
         const PlannedReplica *important = nullptr;
@@ -238,9 +238,9 @@
     {
         PlannerOptions stranded;
         stranded.objective = Objective::StrandedAccelerators;
-        ObedientHosts hosts(twoDomains(4, 2, 2));
+        SimulatedHosts hosts(twoDomains(4, 2, 2));
         CPPUNIT_ASSERT_EQUAL(4, readyCount(hosts.settle({}, stranded)));
-        ObedientHosts others(twoDomains(4, 2, 2));
+        SimulatedHosts others(twoDomains(4, 2, 2));
         CPPUNIT_ASSERT_EQUAL(2, readyCount(others.settle({}, {})));
     }
 
@@ -248,15 +248,15 @@
     {
         PlannerOptions options;
         options.maxLoadingHosts = 3;
-        ObedientHosts hosts(twoDomains(4, 4, 2));
+        SimulatedHosts hosts(twoDomains(4, 4, 2));
         const ReplicaPlan plan = nextPlan({}, hosts.input(), options);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, plan.replicas.size());
         CPPUNIT_ASSERT_EQUAL(4, readyCount(hosts.settle(plan, options)));
     }
 
-    void strayHostIsOrderedOut()
+    void unplannedHostIsOrderedToLeave()
     {
-        ObedientHosts hosts(twoDomains(1, 0, 1));
+        SimulatedHosts hosts(twoDomains(1, 0, 1));
         hosts["p0"].replica = ReplicaId("old");
         const ReplicaPlan plan { Epoch(9), {} };
         const std::vector<HostOrder> orders = ordersFor(plan, hosts.input());
@@ -265,9 +265,9 @@
         CPPUNIT_ASSERT_EQUAL(Epoch(9), orders[0].epoch);
     }
 
-    void planSurvivesItsTextFormAndBadOnesAreRefused()
+    void planSerializesAndInvalidPlansAreRejected()
     {
-        ObedientHosts hosts(twoDomains(2, 2, 2));
+        SimulatedHosts hosts(twoDomains(2, 2, 2));
         ReplicaPlan plan = hosts.settle({}, {});
         const Result<ReplicaPlan> read = parsePlan(serialize(plan));
         CPPUNIT_ASSERT_EQUAL(serialize(plan), serialize(read.value()));
@@ -276,9 +276,9 @@
         CPPUNIT_ASSERT(!parsePlan("{}").ok());
     }
 
-    void smallCasesMatchTheExhaustiveOptimum()
+    void smallCasesMatchTheOptimum()
     {
-        // One model: the most replicas that fit is the sum over domains of what each holds.
+        // With one model the optimum is the sum over domains of the replicas that fit into each.
         for (int inP = 0; inP <= 5; ++inP) {
             for (int inQ = 0; inQ <= 5; ++inQ) {
                 for (int size = 1; size <= 3; ++size) {
@@ -287,26 +287,26 @@
                         input.hosts.push_back(host("p" + std::to_string(i), "p"));
                     for (int i = 0; i < inQ; ++i)
                         input.hosts.push_back(host("q" + std::to_string(i), "q"));
-                    ObedientHosts hosts(input);
+                    SimulatedHosts hosts(input);
                     CPPUNIT_ASSERT_EQUAL(inP / size + inQ / size, readyCount(hosts.settle({}, {})));
                 }
             }
         }
     }
 
-    void invariantsHoldOverRandomDays()
+    void invariantsHoldOverRandomFailures()
     {
         const bool held = rc::check("a plan's replicas serve whole or not at all", [] {
             const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-            runDay(seed);
+            runRandomFailures(seed);
         });
         CPPUNIT_ASSERT(held);
     }
 
 private:
-    // Hosts die, return with old memories, leave, obey late or not at all. After each plan: it is
-    // sound, and whatever is ready was confirmed by all of its hosts.
-    static void runDay(std::uint32_t seed)
+    // Hosts fail, return with their old state, leave, and execute orders late or never. Each plan
+    // must be valid, and all hosts of a ready replica must have confirmed.
+    static void runRandomFailures(std::uint32_t seed)
     {
         Random random(seed);
         PlannerOptions options;
@@ -314,7 +314,7 @@
             random.below(2) == 0 ? Objective::GroupDowntime : Objective::StrandedAccelerators;
         PlannerInput input = twoDomains(5, 3, 2);
         input.needs.push_back({ ModelId("less@1"), 1, 3, 10 });
-        ObedientHosts hosts(input);
+        SimulatedHosts hosts(input);
         std::vector<HostState> dead;
         std::vector<HostOrder> late;
         ReplicaPlan plan;
@@ -330,7 +330,7 @@
             } else if (event == 2 && !all.empty()) {
                 all[random.below(all.size())].leaving = random.below(2) == 0;
             } else if (event == 3 && !late.empty()) {
-                obeyIfAlive(hosts, late[random.below(late.size())]);
+                executeIfAlive(hosts, late[random.below(late.size())]);
             } else if (event == 4 && !all.empty()) {
                 all[random.below(all.size())].idle = random.below(2) == 0;
             }
@@ -344,22 +344,22 @@
             plan = next;
             for (const HostOrder &order : ordersFor(plan, hosts.input())) {
                 if (random.below(3) != 0)
-                    hosts.obey(order);
+                    hosts.execute(order);
                 else
                     late.push_back(order);
             }
         }
     }
 
-    static void obeyIfAlive(ObedientHosts &hosts, const HostOrder &order)
+    static void executeIfAlive(SimulatedHosts &hosts, const HostOrder &order)
     {
         const auto &all = hosts.input().hosts;
         if (std::any_of(all.begin(), all.end(),
                         [&](const HostState &state) { return state.host == order.host; }))
-            hosts.obey(order);
+            hosts.execute(order);
     }
 
-    // A host leaves a ready replica only by way of draining or breaking.
+    // A ready replica keeps its hosts until it has drained.
     static void assertDrainedBeforeMoved(const ReplicaPlan &before, const ReplicaPlan &after,
                                          const PlannerInput &input)
     {
