--- a/ramphinge/base/base_test.cpp
+++ b/ramphinge/base/base_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the base library: lease arithmetic, stable hashing, seeded randomness.
+// Tests of the base library: lease arithmetic, hashes, random numbers.
 
 #include "ramphinge/base/hash.h"
 #include "ramphinge/base/lease_term.h"
@@ -10,14 +10,14 @@
 class BaseTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(BaseTest);
-    CPPUNIT_TEST(leaseEndsMarginEarlyCountedFromSending);
-    CPPUNIT_TEST(rendezvousMovesOnlyTheLostCandidatesKeys);
+    CPPUNIT_TEST(leaseTermEndsMarginBeforeLengthAfterSending);
+    CPPUNIT_TEST(removedCandidateReassignsOnlyItsKeys);
     CPPUNIT_TEST(digestsMatchPublishedVectors);
-    CPPUNIT_TEST(sameSeedSameSequence);
+    CPPUNIT_TEST(sameSeedGivesSameSequence);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void leaseEndsMarginEarlyCountedFromSending()
+    void leaseTermEndsMarginBeforeLengthAfterSending()
     {
         ManualClock clock;
         const LeaseTerm term(clock.now(), std::chrono::seconds(5), std::chrono::seconds(1));
@@ -29,7 +29,7 @@
         CPPUNIT_ASSERT(!LeaseTerm().mayAct(clock.now()));
     }
 
-    void rendezvousMovesOnlyTheLostCandidatesKeys()
+    void removedCandidateReassignsOnlyItsKeys()
     {
         const std::vector<std::string> all { "a", "b", "c", "d" };
         const std::vector<std::string> fewer { "a", "b", "d" };
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT(!equalConstantTime("abc", "abd"));
     }
 
-    void sameSeedSameSequence()
+    void sameSeedGivesSameSequence()
     {
         Random a(7);
         Random b(7);
--- a/ramphinge/base/erase_if.h
+++ b/ramphinge/base/erase_if.h
@@ -1,4 +1,4 @@
-// Takes entries out of a map by a condition, as C++20's std::erase_if does.
+// Conditional erasure from maps, a substitute for C++20's std::erase_if.
 
 #pragma once
 
@@ -6,7 +6,7 @@
 
 namespace ramphinge {
 
-// Erases each entry for which `predicate` holds.
+// Erases each entry for which `predicate` returns true.
 template <typename Map, typename Predicate> void eraseIf(Map &map, Predicate predicate)
 {
     for (auto entry = map.begin(); entry != map.end();)
--- a/ramphinge/base/ids.h
+++ b/ramphinge/base/ids.h
@@ -1,5 +1,5 @@
-// Strong types for identifiers and units, so that a host can't be passed for a replica nor tokens
-// for requests.
+// Strong types for identifiers and units, so that a host id can't be passed as a replica id, or a
+// number of tokens as an epoch.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace ramphinge {
 
-// A textual identifier of one kind. Empty means "none".
+// A textual identifier of the kind `Tag`. Empty means none.
 template <typename Tag> class Id
 {
 public:
@@ -30,7 +30,7 @@
     std::string m_text;
 };
 
-// A count of one kind, with the arithmetic that makes sense for counts.
+// A count of the kind `Tag`, with addition, subtraction and comparison.
 template <typename Tag, typename Rep = std::int64_t> class Quantity
 {
 public:
@@ -73,14 +73,14 @@
 using ServiceId = Id<struct ServiceIdTag>;
 using RequestId = Id<struct RequestIdTag>;
 using IdempotencyKey = Id<struct IdempotencyKeyTag>;
-using ChangeId = Id<struct ChangeIdTag>; // One operator's change of configuration.
+using ChangeId = Id<struct ChangeIdTag>; // A change of the configuration by an operator.
 
 using Tokens = Quantity<struct TokensTag>;
-using Epoch = Quantity<struct EpochTag>; // A fencing token: grows, never repeats.
-using Revision = Quantity<struct RevisionTag>; // The platform's version of one key; 0 is "absent".
-using Attempt = Quantity<struct AttemptTag, int>; // 1 for a request's first try.
+using Epoch = Quantity<struct EpochTag>; // A fencing token: only grows.
+using Revision = Quantity<struct RevisionTag>; // The platform's version of a key; 0 means absent.
+using Attempt = Quantity<struct AttemptTag, int>; // 1 for a request's first attempt.
 
-// Where a process listens. Numeric address only.
+// The address on which a process listens; numeric only.
 struct Endpoint
 {
     std::string address;
--- a/ramphinge/base/process_marks.h
+++ b/ramphinge/base/process_marks.h
@@ -1,6 +1,5 @@
-// What the process is at, in a form that can be read at any moment, also by the handler of a fatal
-// signal: lock-free counters and a pointer to a literal. Written along the way by the libraries
-// that know; each write is one relaxed store.
+// The state of the process in a form that a handler of a fatal signal can read: lock-free counters
+// and a pointer to a string literal. Updated by the libraries concerned, with relaxed operations.
 
 #pragma once
 
@@ -8,23 +7,23 @@
 
 namespace ramphinge {
 
-// Numbers of the present moment; each by itself, without an order between them.
+// Current values, without an order between their updates.
 struct ProcessMarks
 {
-    std::atomic<int> coroutines { 0 }; // That have begun and not ended.
-    std::atomic<int> openRequests { 0 }; // Of callers, from admission to the end of the answer.
-    // The last decision that was to be logged, written or left out. Always a string literal.
+    std::atomic<int> coroutines { 0 }; // Started and not ended.
+    std::atomic<int> openRequests { 0 }; // From admission to the end of the answer.
+    // The last decision passed to the log, even if the log omitted it. Always a string literal.
     std::atomic<const char *> lastDecision { "" };
 };
 
-// The process's own.
+// The instance of this process.
 inline ProcessMarks &processMarks()
 {
     static ProcessMarks marks;
     return marks;
 }
 
-// Counts one more for as long as it lives.
+// Increments a counter for its lifetime.
 class MarkedScope
 {
 public:
--- a/ramphinge/base/random.cpp
+++ b/ramphinge/base/random.cpp
@@ -1,4 +1,4 @@
-// Seeded randomness: see random.h.
+// Pseudorandom numbers: see random.h.
 
 #include "ramphinge/base/random.h"
 
--- a/ramphinge/base/random.h
+++ b/ramphinge/base/random.h
@@ -1,4 +1,5 @@
-// Seeded randomness, the one source in a process, so that a run can be repeated.
+// Pseudorandom numbers from a seed, so that a run can be repeated. Other sources of randomness
+// aren't used.
 
 #pragma once
 
@@ -10,7 +11,7 @@
 
 namespace ramphinge {
 
-// Not thread-safe: one per thread or actor.
+// Not thread-safe: use one per thread or component.
 class Random
 {
 public:
@@ -24,10 +25,11 @@
     // Uniform in [0, 1).
     double fraction();
 
-    // Exponentially distributed with the given mean: the gap between Poisson arrivals.
+    // Exponentially distributed with the given mean, as the interval between Poisson arrivals.
     Duration exponential(Duration mean);
 
-    // `base` plus up to `spread` of it (0.2 is up to 20 % more): keeps timers of a fleet apart.
+    // `base` times a random factor in [1, 1 + spread): keeps timers of many processes from
+    // coinciding.
     Duration jittered(Duration base, double spread);
 
     // 16 hex digits, for request and change ids.
@@ -37,7 +39,7 @@
     std::mt19937_64 m_engine;
 };
 
-// A seed from the machine's entropy, for processes that were given none.
+// A seed from the machine's entropy, for processes without a configured seed.
 std::uint64_t entropySeed();
 
 } // namespace ramphinge
--- a/ramphinge/base/result.h
+++ b/ramphinge/base/result.h
@@ -1,4 +1,4 @@
-// Results: a value, or an error of a typed kind whose message names the remedy.
+// Result types: a value, or an error with a kind and a message that says what to do about it.
 //
 //   Result<Plan> plan = parsePlan(text);
 //   if (!plan.ok())
@@ -17,19 +17,19 @@
     InvalidInput, // The caller must change the request.
     Unauthorized, // The credentials don't allow this.
     NotFound,
-    Conflict, // Somebody else changed it first; read again.
-    Overloaded, // No capacity within the deadline; come back later.
+    Conflict, // Changed concurrently by another writer; read it again.
+    Overloaded, // No capacity within the deadline; retry later.
     DeadlineExceeded,
-    Unavailable, // Certainly had no effect; may be tried again.
-    Unknown, // May or may not have had an effect; read back before deciding.
-    Fenced, // The actor's lease or epoch is no longer current.
+    Unavailable, // Had no effect; may be retried.
+    Unknown, // May have had an effect; read the state before deciding.
+    Fenced, // The lease or epoch of the caller is no longer current.
     Internal,
 };
 
 // Stable lower-case name, as used on the wire.
 const char *toString(ErrorKind kind);
 
-// What went wrong and what to do about it. Immutable value.
+// An error; the message says what went wrong and what to do about it. Immutable value.
 class Error
 {
 public:
@@ -43,7 +43,7 @@
     std::string m_message;
 };
 
-// Holds exactly one of a T and an Error. Calling the accessor of the other one throws
+// Holds either a T or an Error. The accessor of the one that it doesn't hold throws
 // std::bad_variant_access.
 template <typename T> class Result
 {
@@ -64,7 +64,7 @@
     std::variant<T, Error> m_state;
 };
 
-// Success without a value.
+// The value of a Status without error.
 struct Done
 {
 };
--- a/ramphinge/base/text.h
+++ b/ramphinge/base/text.h
@@ -1,4 +1,4 @@
-// Small operations on texts, such as fields of HTTP.
+// String functions, for example for HTTP headers.
 
 #pragma once
 
@@ -8,13 +8,13 @@
 
 namespace ramphinge {
 
-// Whether both are the same but for the case of ASCII letters.
+// Whether the strings are equal, ignoring the case of ASCII letters.
 inline bool sameIgnoringCase(std::string_view a, std::string_view b)
 {
     return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-// Without the spaces at both ends.
+// `text` without leading and trailing spaces.
 inline std::string_view trimmed(std::string_view text)
 {
     while (!text.empty() && text.front() == ' ')
--- a/ramphinge/base/time.cpp
+++ b/ramphinge/base/time.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr std::int64_t manualEpochMilliseconds = 1'700'000'000'000;
-std::atomic<std::int64_t> skippedNanoseconds { 0 }; // By tests.
+std::atomic<std::int64_t> skippedNanoseconds { 0 }; // See BootClock::skip().
 } // namespace
 
 BootClock::time_point BootClock::now() noexcept
--- a/ramphinge/base/time.h
+++ b/ramphinge/base/time.h
@@ -1,6 +1,6 @@
-// Time as types: a monotonic clock for decisions, a wall clock for what people and other processes
-// read. Every decision takes its clock as an argument, so a test can own the time. No other source
-// reads a clock of the system (tools/check-clocks.sh).
+// Clocks: monotonic time for decisions, wall time for people and other processes. Decisions take
+// their clock as an argument, so that tests control the time. No other source reads a system clock
+// (checked by tools/check-clocks.sh).
 //
 //   const MonotonicTime deadline = clock.now() + std::chrono::seconds(2);
 //   if (clock.now() >= deadline)
@@ -17,10 +17,10 @@
 using Duration = std::chrono::nanoseconds;
 using Milliseconds = std::chrono::milliseconds;
 
-// The time since the machine started, in which it was suspended too. A lease, a proof of freshness
-// or a deadline goes on while a machine is suspended, so nothing that decides may read a clock that
-// stands still meanwhile, as the C++ steady clock does on Linux. A type of its own, so that points
-// in time of the two can't be compared.
+// Time since the machine was booted, including suspension. Leases, confirmations of freshness and
+// deadlines expire while a machine is suspended, so decisions can't use a clock that stops then, as
+// the C++ steady clock does on Linux. A separate type, so that time points of the two clocks can't
+// be compared.
 class BootClock
 {
 public:
@@ -32,14 +32,14 @@
 
     static time_point now() noexcept;
 
-    // For tests: goes on by `step` at once, as over a suspension of the machine.
+    // For tests: advances all readings by `step`, as a suspension of the machine does.
     static void skip(Duration step);
 };
 
 using MonotonicTime = BootClock::time_point;
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Milliseconds>;
 
-// Source of both times. Implementations are safe to call from any thread.
+// Source of monotonic and wall time. Implementations must be thread-safe.
 class Clock
 {
 public:
@@ -56,28 +56,28 @@
     WallTime wallNow() const override;
 };
 
-// A clock that moves only when told; for tests and replayed decisions.
+// A clock that advances only on request; for tests and replayed decisions.
 class ManualClock : public Clock
 {
 public:
     MonotonicTime now() const override { return MonotonicTime(Duration(m_sinceStart.load())); }
     WallTime wallNow() const override;
 
-    // Moves both times forward by `step`, which must not be negative.
+    // Advances both times by `step`, which must not be negative.
     void advance(Duration step) { m_sinceStart += step.count(); }
 
 private:
     std::atomic<std::int64_t> m_sinceStart { 1'000'000'000 };
 };
 
-// Milliseconds since the epoch, the form in which wall time crosses process borders.
+// Milliseconds since the Unix epoch, as wall time is sent between processes.
 std::int64_t toUnixMilliseconds(WallTime time);
 WallTime fromUnixMilliseconds(std::int64_t milliseconds);
 
-// `duration` times a factor, rounded down.
+// `duration` times `factor`, rounded toward zero.
 Duration scaled(Duration duration, double factor);
 
-// A duration as fractional milliseconds, for reports only.
+// Fractional milliseconds, for reports only.
 double toMilliseconds(Duration duration);
 
 } // namespace ramphinge
