--- a/ramphinge/claims/claim_table.cpp
+++ b/ramphinge/claims/claim_table.cpp
@@ -44,7 +44,8 @@
     const std::optional<KeyStamp> stamp = parseKeyStamp(key.key);
     if (!stamp) {
         const bool hadNoOtherOwner = m_vouchesSince == WallTime();
-        const auto horizon = std::chrono::duration_cast<Milliseconds>(m_options.opaqueHorizon);
+        const auto horizon =
+            std::chrono::duration_cast<Milliseconds>(m_options.opaqueKeyRetryWindow);
         return hadNoOtherOwner || m_vouchesSince + horizon <= now;
     }
     const auto retention = std::chrono::duration_cast<Milliseconds>(m_options.retention);
@@ -106,7 +107,7 @@
     if (entry.answer)
         m_answerBytes -= entry.answer->body.size();
     entry.answer.reset();
-    if (!answer || answer->body.size() > m_options.maxKeptAnswer)
+    if (!answer || answer->body.size() > m_options.maxKeptAnswerBytes)
         return;
     m_answerBytes += answer->body.size();
     entry.answer = std::move(answer);
@@ -124,7 +125,7 @@
     // A stamped key older than the retention is refused, so its entry is no longer needed. The skew
     // covers keys stamped by a clock ahead of this one.
     const auto age = std::chrono::duration_cast<Milliseconds>(
-        m_options.retention + m_options.opaqueHorizon + 2 * m_options.clockSkew);
+        m_options.retention + m_options.opaqueKeyRetryWindow + 2 * m_options.clockSkew);
     while (!m_entries.empty() && m_entries.front().record.at < clock.wallNow() - age)
         removeOldest();
 }
--- a/ramphinge/claims/claim_table.h
+++ b/ramphinge/claims/claim_table.h
@@ -76,16 +76,14 @@
 
 struct ClaimTableOptions
 {
-    Duration sendWindow =
-        std::chrono::seconds(2); // From the request for a grant to the first byte sent.
+    Duration sendWindow = std::chrono::seconds(2); // From asking for a grant to the first byte.
     Duration retention = std::chrono::hours(1); // Stamped keys older than this are refused.
-    Duration opaqueHorizon =
-        std::chrono::minutes(10); // Callers retry opaque keys within this time.
-    Duration clockSkew =
-        std::chrono::milliseconds(500); // Maximum between the wall clocks of any two hosts.
+    // Callers retry opaque keys within this time.
+    Duration opaqueKeyRetryWindow = std::chrono::minutes(10);
+    Duration clockSkew = std::chrono::milliseconds(500); // Maximum, between any two hosts.
     std::size_t maxEntries = 200'000;
     std::size_t maxKeptBytes = 8 * 1024 * 1024; // Bodies of kept answers, whole table.
-    std::size_t maxKeptAnswer = 32 * 1024;
+    std::size_t maxKeptAnswerBytes = 32 * 1024;
 };
 
 // The state of a key, as handed over to the slot's next owner.
@@ -113,7 +111,7 @@
     void settle(const ClaimAttempt &attempt, ClaimOutcome outcome, std::optional<KeptAnswer> answer,
                 const Clock &clock);
 
-    // For a replica of the owner's table: records a grant that the owner is about to give.
+    // For a copy of the owner's table: records a grant that the owner is about to give.
     void remember(const ClaimAttempt &attempt, const Clock &clock);
 
     // All keys, for the next owner.
