--- a/ramphinge/membership/host_view.cpp
+++ b/ramphinge/membership/host_view.cpp
@@ -52,7 +52,7 @@
 const HostObservation *HostView::latest(const HostId &host, MonotonicTime now) const
 {
     const auto found = m_latest.find(host);
-    if (found == m_latest.end() || now - found->second.madeAt > m_options.observationLife)
+    if (found == m_latest.end() || now - found->second.madeAt > m_options.maxObservationAge)
         return nullptr;
     return &found->second;
 }
@@ -62,8 +62,8 @@
     const Member *listed = member(host);
     if (listed == nullptr || listed->leaving)
         return false;
-    const HostObservation *observation = latest(host, now);
-    return observation == nullptr ? listed->live : observation->answers;
+    const HostObservation *newest = latest(host, now);
+    return newest == nullptr ? listed->live : newest->answers;
 }
 
 std::set<HostId> HostView::unusableHosts(MonotonicTime now) const
--- a/ramphinge/membership/host_view.h
+++ b/ramphinge/membership/host_view.h
@@ -41,7 +41,7 @@
 struct HostViewOptions
 {
     // Older observations are ignored: the host is no longer being probed.
-    Duration observationLife = std::chrono::seconds(5);
+    Duration maxObservationAge = std::chrono::seconds(5);
 };
 
 // Not thread-safe.
@@ -59,7 +59,7 @@
     const std::vector<Member> &members() const { return m_members.members; }
     const Member *member(const HostId &host) const;
 
-    // The newest observation, or null if there is none younger than `observationLife`.
+    // The newest observation, or null if there is none younger than `maxObservationAge`.
     const HostObservation *latest(const HostId &host, MonotonicTime now) const;
 
     // Whether new requests may go to the host.
--- a/ramphinge/membership/membership_test.cpp
+++ b/ramphinge/membership/membership_test.cpp
@@ -221,11 +221,11 @@
             brokenLinks.emplace(from, victim);
     }
 
-    static Registration reportedRegistration(const SimulatedDaemon &daemon, MonotonicTime now)
+    static Registration reportedRegistration(const SimulatedDaemon &simulated, MonotonicTime now)
     {
-        if (daemon.term.mayAct(now))
+        if (simulated.term.mayAct(now))
             return Registration::Registered;
-        return daemon.reachesPlatform ? Registration::Rejoining : Registration::Unregistered;
+        return simulated.reachesPlatform ? Registration::Rejoining : Registration::Unregistered;
     }
 
     static void runPartitions(std::uint32_t seed)
@@ -239,11 +239,11 @@
         const Duration margin = std::chrono::milliseconds(500 + 500 * random.below(4));
         ManualClock clock;
         const std::size_t count = 1 + random.below(5);
-        std::vector<SimulatedDaemon> daemons(count);
+        std::vector<SimulatedDaemon> simulatedDaemons(count);
         ZoneRoster roster { ZoneId("a"), {} };
         for (std::size_t i = 0; i < count; ++i) {
-            daemons[i].id = DaemonId("d" + std::to_string(i));
-            roster.daemons.push_back(daemons[i].id);
+            simulatedDaemons[i].id = DaemonId("d" + std::to_string(i));
+            roster.daemons.push_back(simulatedDaemons[i].id);
         }
         const std::uint64_t eventOdds = 8 + random.below(40);
         BrokenLinks brokenLinks;
@@ -253,15 +253,15 @@
         for (int step = 0; step < 400; ++step) {
             clock.advance(tick);
             const MonotonicTime now = clock.now();
-            SimulatedDaemon &any = daemons[random.below(count)];
+            SimulatedDaemon &any = simulatedDaemons[random.below(count)];
             const std::uint64_t event = random.below(eventOdds);
             if (event == 0)
                 any.reachesPlatform = !any.reachesPlatform;
             else if (event == 1)
                 any.frozen = !any.frozen;
             else if (event == 2)
-                for (SimulatedDaemon &daemon : daemons)
-                    daemon.reachesPlatform = false;
+                for (SimulatedDaemon &simulated : simulatedDaemons)
+                    simulated.reachesPlatform = false;
             else if (event == 3)
                 brokenLinks.emplace(random.below(count), random.below(count));
             else if (event == 4)
@@ -269,77 +269,79 @@
             else if (event == 5 && random.below(4) == 0)
                 brokenLinks.clear();
             for (std::size_t i = 0; i < count; ++i) {
-                SimulatedDaemon &daemon = daemons[i];
-                if (daemon.frozen)
+                SimulatedDaemon &simulated = simulatedDaemons[i];
+                if (simulated.frozen)
                     continue;
-                if (daemon.reachesPlatform) {
+                if (simulated.reachesPlatform) {
                     // Renewal, or a new registration after the promise has ended. Reads the newest
                     // configuration before it counts as registered.
                     const bool promised =
-                        now - daemon.lastReportedUnregistered < 2 * options.promise;
-                    if (daemon.term.mayAct(now) || !promised) {
-                        daemon.platformLeaseEnd = now + lease;
-                        daemon.term = LeaseTerm(now, lease, margin);
-                        daemon.version = accepted;
-                        daemon.prepared = proposed;
+                        now - simulated.lastReportedUnregistered < 2 * options.promise;
+                    if (simulated.term.mayAct(now) || !promised) {
+                        simulated.platformLeaseEnd = now + lease;
+                        simulated.term = LeaseTerm(now, lease, margin);
+                        simulated.version = accepted;
+                        simulated.prepared = proposed;
                     }
                 }
                 // Learns newer configurations from its peers.
-                for (const auto &[id, state] : daemon.heard) {
+                for (const auto &[id, state] : simulated.heard) {
                     if (state.heardAt != now)
                         continue;
-                    daemon.version = std::max(daemon.version, state.configVersion);
-                    daemon.prepared = std::max(daemon.prepared, state.preparedVersion);
+                    simulated.version = std::max(simulated.version, state.configVersion);
+                    simulated.prepared = std::max(simulated.prepared, state.preparedVersion);
                 }
-                const Registration reported = reportedRegistration(daemon, now);
+                const Registration reported = reportedRegistration(simulated, now);
                 if (reported == Registration::Unregistered)
-                    daemon.lastReportedUnregistered = now;
+                    simulated.lastReportedUnregistered = now;
                 for (std::size_t j = 0; j < count; ++j) {
                     const bool passes =
-                        j != i && !daemons[j].frozen && brokenLinks.count({ i, j }) == 0;
+                        j != i && !simulatedDaemons[j].frozen && brokenLinks.count({ i, j }) == 0;
                     if (!passes)
                         continue;
-                    daemons[j].heard[daemon.id] = peer(daemon.id, reported, now);
-                    daemons[j].heard[daemon.id].configVersion = daemon.version;
-                    daemons[j].heard[daemon.id].preparedVersion = daemon.prepared;
+                    simulatedDaemons[j].heard[simulated.id] = peer(simulated.id, reported, now);
+                    simulatedDaemons[j].heard[simulated.id].configVersion = simulated.version;
+                    simulatedDaemons[j].heard[simulated.id].preparedVersion = simulated.prepared;
                 }
             }
             std::vector<DaemonId> registered;
             bool allConfirm = true;
-            for (const SimulatedDaemon &daemon : daemons) {
-                if (daemon.platformLeaseEnd <= now)
+            for (const SimulatedDaemon &simulated : simulatedDaemons) {
+                if (simulated.platformLeaseEnd <= now)
                     continue;
-                registered.push_back(daemon.id);
-                allConfirm = allConfirm && !daemon.frozen && daemon.reachesPlatform
-                    && daemon.term.mayAct(now);
+                registered.push_back(simulated.id);
+                allConfirm = allConfirm && !simulated.frozen && simulated.reachesPlatform
+                    && simulated.term.mayAct(now);
             }
             if (proposed != 0 && random.below(3) == 0) {
                 // Decided: accepted, or abandoned; the next proposal gets a new number.
                 accepted = random.below(2) == 0 ? proposed : accepted;
                 proposed = 0;
-                for (SimulatedDaemon &daemon : daemons) {
-                    if (daemon.reachesPlatform && !daemon.frozen && daemon.term.mayAct(now)) {
-                        daemon.version = accepted;
-                        daemon.prepared = 0;
+                for (SimulatedDaemon &simulated : simulatedDaemons) {
+                    if (simulated.reachesPlatform && !simulated.frozen
+                        && simulated.term.mayAct(now)) {
+                        simulated.version = accepted;
+                        simulated.prepared = 0;
                     }
                 }
             } else if (proposed == 0 && allConfirm && hasMajority(roster, registered)) {
                 proposed = ++lastProposal;
-                for (SimulatedDaemon &daemon : daemons) {
-                    if (daemon.platformLeaseEnd > now)
-                        daemon.prepared = proposed;
+                for (SimulatedDaemon &simulated : simulatedDaemons) {
+                    if (simulated.platformLeaseEnd > now)
+                        simulated.prepared = proposed;
                 }
             }
-            for (const SimulatedDaemon &daemon : daemons) {
-                ServingInput input { daemon.id,   daemon.version, daemon.prepared,
-                                     daemon.term, roster,         {},
-                                     now };
-                for (const auto &[id, state] : daemon.heard)
+            for (const SimulatedDaemon &simulated : simulatedDaemons) {
+                ServingInput input {
+                    simulated.id, simulated.version, simulated.prepared, simulated.term, roster, {},
+                    now
+                };
+                for (const auto &[id, state] : simulated.heard)
                     input.zonePeers.push_back(state);
                 const ServingDecision decision = decideServing(input, options);
-                const bool serves = !daemon.frozen && decision.mode != ServingMode::Refusing;
-                const bool known = daemon.version == accepted
-                    || (decision.inDoubt && daemon.prepared == accepted)
+                const bool serves = !simulated.frozen && decision.mode != ServingMode::Refusing;
+                const bool known = simulated.version == accepted
+                    || (decision.inDoubt && simulated.prepared == accepted)
                     // Registered: learns of the decision within the lease, or the lease ends.
                     || decision.mode == ServingMode::Confirmed;
                 RC_ASSERT((!serves || known));
--- a/ramphinge/membership/peer_state.h
+++ b/ramphinge/membership/peer_state.h
@@ -28,8 +28,7 @@
     std::string incarnation; // New with each start of the process.
     Registration registration = Registration::Unregistered;
     std::int64_t configVersion = 0; // Of its accepted configuration; 0 if none.
-    std::int64_t preparedVersion =
-        0; // Of a proposal that it confirmed and whose decision it doesn't know; or 0.
+    std::int64_t preparedVersion = 0; // Of a confirmed proposal whose decision is unknown; or 0.
     MonotonicTime heardAt; // By the local clock.
 };
 
--- a/ramphinge/membership/serving_gate.h
+++ b/ramphinge/membership/serving_gate.h
@@ -7,11 +7,10 @@
 // - a change is accepted, and a key slot taken over, only with the confirmation of every registered
 //   daemon, which must be more than half of each zone's roster (see hasMajority);
 // - a daemon whose registration has expired continues to serve only while at least half of its
-// zone's
-//   roster, including itself, is unregistered and promises to remain so for a while, and only with
-//   the newest configuration that any of these has accepted or confirmed. A confirmed proposal
-//   whose decision is unknown may have been accepted: the daemon then serves only the accounts for
-//   which both configurations agree (ServingDecision::inDoubt).
+//   zone's roster, including itself, is unregistered and promises to remain so for a while, and
+//   only with the newest configuration that any of these has accepted or confirmed. A confirmed
+//   proposal whose decision is unknown may have been accepted: the daemon then serves only the
+//   accounts for which both configurations agree (ServingDecision::inDoubt).
 //
 // A daemon whose term has ended by its own clock therefore doesn't renew its lease, even if the
 // platform would still allow it, but registers anew after its promise has ended.
