--- a/ramphinge/replicas/plan.h
+++ b/ramphinge/replicas/plan.h
@@ -18,8 +18,7 @@
     Forming, // Not every host has confirmed yet that it is a loaded member.
     Ready, // Every host has confirmed; requests may be sent to it.
     Draining, // Gets no new requests; its hosts become free when those in flight have ended.
-    Broken, // A host is missing or contradicts the plan; gets no requests; keeps its hosts until it
-            // is repaired.
+    Broken, // A host is missing or contradicts the plan; gets no requests; keeps its other hosts.
 };
 
 const char *toString(ReplicaPhase phase);
@@ -31,8 +30,7 @@
     DomainId domain; // Invariant: all hosts are in this fabric domain.
     Epoch epoch; // Of the present formation.
     ReplicaPhase phase = ReplicaPhase::Forming;
-    bool surplus =
-        false; // Beyond the demanded count; formed of hosts that would be idle otherwise.
+    bool surplus = false; // Beyond the demanded count; formed of otherwise idle hosts.
     std::vector<HostId> hosts; // In rank order; rank 0 receives the requests.
 };
 
--- a/ramphinge/replicas/planner.cpp
+++ b/ramphinge/replicas/planner.cpp
@@ -366,12 +366,12 @@
     void takeHostsOfLessImportant(const PlannedReplica &recipient, int count,
                                   std::vector<HostId> &spares)
     {
-        const int importance = importanceOf(recipient);
+        const int recipientImportance = importanceOf(recipient);
         PlannedReplica *donor = nullptr;
         for (PlannedReplica &planned : m_plan.replicas) {
             const bool isCandidate = planned.replica != recipient.replica
                 && planned.domain == recipient.domain && planned.phase != ReplicaPhase::Draining
-                && importanceOf(planned) < importance
+                && importanceOf(planned) < recipientImportance
                 && liveHosts(planned).size() >= static_cast<std::size_t>(count);
             if (isCandidate && (donor == nullptr || importanceOf(planned) < importanceOf(*donor)))
                 donor = &planned;
--- a/ramphinge/routing/outliers.cpp
+++ b/ramphinge/routing/outliers.cpp
@@ -89,8 +89,8 @@
 {
     record.ejected = true;
     record.until =
-        now + m_options.ejection * (1 << std::min(record.ejections, maxBackoffDoublings));
-    ++record.ejections;
+        now + m_options.ejection * (1 << std::min(record.ejectionCount, maxBackoffDoublings));
+    ++record.ejectionCount;
     ++m_ejections;
 }
 
--- a/ramphinge/routing/outliers.h
+++ b/ramphinge/routing/outliers.h
@@ -60,7 +60,7 @@
         double smoothed = 0; // Milliseconds.
         int samples = 0;
         int failures = 0; // Consecutive.
-        int ejections = 0;
+        int ejectionCount = 0;
         bool ejected = false;
         MonotonicTime until; // End of the ejection.
         MonotonicTime rampStart; // Start of the slow start; the default value means none.
--- a/ramphinge/routing/replica_table.h
+++ b/ramphinge/routing/replica_table.h
@@ -102,8 +102,7 @@
         int endedSinceReport = 0;
         bool ready = true; // False: no longer ready in the plan; kept while requests are in flight.
         double smoothedRunning = 0; // Running requests, moving average over reports.
-        double borrowed =
-            0; // Slots beyond this daemon's share of the batch; see adjustBorrowing().
+        double borrowed = 0; // Slots beyond this daemon's share; see adjustBorrowing().
     };
 
     bool usable(const State &state) const;
