--- a/tools/mutation-check.sh
+++ b/tools/mutation-check.sh
@@ -36,11 +36,11 @@
 mutant "a new owner vouches for old keys" ramphinge/claims/claim_table.cpp claims \
     'stamp->birth <= m_vouchesSince + 2 * skew' 'false'
 mutant "keys from the future are granted" ramphinge/claims/claim_table.cpp claims \
-    'return !fromTheFuture && ' 'return '
+    'return !isFromTheFuture && ' 'return '
 mutant "forgetting does not raise what is vouched for" ramphinge/claims/claim_table.cpp claims \
     'm_vouchesSince = std::max(m_vouchesSince, oldest.record.at);' ''
 mutant "a late word of another try frees a key" ramphinge/claims/claim_table.cpp claims \
-    '    if (other)
+    '    if (isOtherAttempt)
         return;' ''
 mutant "a replica is ready before all hosts confirm" ramphinge/replicas/planner.cpp replicas \
     'planned.phase == ReplicaPhase::Forming && allConfirm(planned)' 'planned.phase == ReplicaPhase::Forming'
@@ -51,11 +51,11 @@
 mutant "hosts of a draining replica are taken while busy" ramphinge/replicas/planner.cpp replicas \
     'return head == nullptr || head->idle || head->replica != planned.replica;' 'return true;'
 mutant "a lapsed daemon serves without half of its zone" ramphinge/membership/serving_gate.cpp membership \
-    'together > 0 && 2 * together >= input.roster.daemons.size()' 'together > 0'
+    'unregistered > 0 && 2 * unregistered >= input.roster.daemons.size()' 'unregistered > 0'
 mutant "old words of peers are believed" ramphinge/membership/serving_gate.cpp membership \
     'input.now - peer.heardAt < options.promise' 'true'
 mutant "a cut-off zone serves what its daemon happens to have" ramphinge/membership/serving_gate.cpp membership \
-    'std::max(peer.configVersion, peer.preparedVersion) > known' 'false'
+    'std::max(peer.configVersion, peer.preparedVersion) > newestVersion' 'false'
 mutant "a confirmed change is forgotten when cut off" ramphinge/membership/serving_gate.cpp membership \
     'const bool undecided = input.preparedVersion > input.configVersion;' 'const bool undecided = false;'
 mutant "a lease is renewed after its term" ramphinge/control/registrar.cpp control \
@@ -108,7 +108,7 @@
 mutant "charges are not corrected" ramphinge/limits/fair_queue.cpp limits \
     'account.finish += static_cast<double>((actual - estimate).count()) / account.weight;' ''
 mutant "stragglers are ejected without a cap" ramphinge/routing/outliers.cpp routing \
-    'if (bad && mayEjectOneMore(alike, now)) {' 'if (bad) {'
+    'if (isOutlier && mayEjectOneMore(alike, now)) {' 'if (isOutlier) {'
 mutant "requests sent since the report do not count" ramphinge/routing/replica_table.cpp routing \
     '    ++state.sentSinceReport;' ''
 exit $survived
