--- a/ramphinge/store/http_platform_store.cpp
+++ b/ramphinge/store/http_platform_store.cpp
@@ -1,4 +1,4 @@
-// The HTTP adapter of the platform's store: see http_platform_store.h.
+// HTTP adapter of the platform store: see http_platform_store.h.
 
 #include "ramphinge/store/http_platform_store.h"
 
@@ -18,9 +18,9 @@
     return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-Error errorOf(const HttpResponse &response, const std::string &path)
+Error toError(const HttpResponse &response, const std::string &path)
 {
-    const std::string text = "the platform answered " + std::to_string(response.status) + " to "
+    const std::string text = "platform store answered " + std::to_string(response.status) + " to "
         + path + ": " + response.body;
     switch (response.status) {
     case 404:
@@ -49,7 +49,7 @@
             return std::optional<StoredValue>();
         if (!answer.ok())
             return answer.error();
-        return std::optional<StoredValue>(storedOf(answer.value()));
+        return std::optional<StoredValue>(storedValueOf(answer.value()));
     }
 
     Result<std::vector<StoredEntry>> list(const StoreKey &prefix) override
@@ -59,7 +59,7 @@
             return answer.error();
         std::vector<StoredEntry> entries;
         for (const Json &entry : answer.value().at("entries"))
-            entries.push_back({ StoreKey(entry.value("key", "")), storedOf(entry) });
+            entries.push_back({ StoreKey(entry.value("key", "")), storedValueOf(entry) });
         return entries;
     }
 
@@ -78,13 +78,13 @@
 
     Status erase(const StoreKey &key, Revision expected) override
     {
-        return status(
+        return toStatus(
             call("/kv/delete", { { "key", key.text() }, { "expect", expected.count() } }));
     }
 
-    Result<LeaseId> grantLease(Duration length) override
+    Result<LeaseId> grantLease(Duration lifetime) override
     {
-        const Result<Json> answer = call("/lease/grant", { { "ttl_ms", milliseconds(length) } });
+        const Result<Json> answer = call("/lease/grant", { { "ttl_ms", milliseconds(lifetime) } });
         if (!answer.ok())
             return answer.error();
         return LeaseId(answer.value().value("lease", std::int64_t { 0 }));
@@ -92,12 +92,12 @@
 
     Status renewLease(LeaseId lease) override
     {
-        return status(call("/lease/renew", { { "lease", lease.count() } }));
+        return toStatus(call("/lease/renew", { { "lease", lease.count() } }));
     }
 
     Status revokeLease(LeaseId lease) override
     {
-        return status(call("/lease/revoke", { { "lease", lease.count() } }));
+        return toStatus(call("/lease/revoke", { { "lease", lease.count() } }));
     }
 
     Result<WatchBatch> watch(const StoreKey &prefix, Revision after, Duration wait) override
@@ -113,10 +113,10 @@
         batch.upTo = Revision(answer.value().value("revision", std::int64_t { 0 }));
         batch.complete = answer.value().value("complete", true);
         for (const Json &change : answer.value().at("changes")) {
-            StoreChange one { StoreKey(change.value("key", "")), std::nullopt };
+            StoreChange storeChange { StoreKey(change.value("key", "")), std::nullopt };
             if (change.contains("value"))
-                one.stored = storedOf(change);
-            batch.changes.push_back(std::move(one));
+                storeChange.stored = storedValueOf(change);
+            batch.changes.push_back(std::move(storeChange));
         }
         return batch;
     }
@@ -142,33 +142,35 @@
     void interrupt() override { m_client.interrupt(); }
 
 private:
-    static StoredValue storedOf(const Json &json)
+    static StoredValue storedValueOf(const Json &json)
     {
         return { json.value("value", std::string()),
                  Revision(json.value("revision", std::int64_t { 0 })) };
     }
 
-    static Status status(const Result<Json> &answer)
+    static Status toStatus(const Result<Json> &answer)
     {
         if (!answer.ok())
             return answer.error();
         return Done {};
     }
 
-    Result<Json> call(const std::string &path, const Json &body, Duration extra = Duration::zero())
+    Result<Json> call(const std::string &path, const Json &body,
+                      Duration watchWait = Duration::zero())
     {
         HttpRequest request {
             "POST", path, { { "content-type", "application/json" } }, body.dump()
         };
         const Result<HttpResponse> response =
-            m_client.exchange(m_options.endpoint, request, m_options.timeout + extra);
+            m_client.exchange(m_options.endpoint, request, m_options.timeout + watchWait);
         if (!response.ok())
             return response.error();
         if (response.value().status != 200)
-            return errorOf(response.value(), path);
+            return toError(response.value(), path);
         Json json = Json::parse(response.value().body, nullptr, false);
         if (!json.is_object())
-            return Error(ErrorKind::Unknown, "the platform's answer to " + path + " is no JSON");
+            return Error(ErrorKind::Unknown,
+                         "platform store's response to " + path + " is not a JSON object");
         return json;
     }
 
--- a/ramphinge/store/http_platform_store.h
+++ b/ramphinge/store/http_platform_store.h
@@ -1,5 +1,5 @@
-// The platform's service over its HTTP interface. The platform of each deployment may have another
-// wire format; this adapter is the only file that knows it.
+// The platform's key-value service and membership list over HTTP. Each deployment's platform may
+// have its own wire format; the format is confined to the implementation of this adapter.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 struct HttpPlatformStoreOptions
 {
     Endpoint endpoint;
-    Duration timeout = std::chrono::milliseconds(800); // Of one call, beyond a watch's own wait.
+    Duration timeout = std::chrono::milliseconds(800); // Per call, on top of a watch's wait.
 };
 
 // Not thread-safe: one object per thread.
--- a/ramphinge/store/key_value_store.h
+++ b/ramphinge/store/key_value_store.h
@@ -1,9 +1,10 @@
 // The platform's key-value service for coroutines on one event loop: compare-and-swap, leases and
-// watches, with limited rates and outages.
+// watches. The service limits call rates and may be unreachable.
 //
-// Errors are typed by what may have happened: ErrorKind::Unavailable and Overloaded say that the
-// call had no effect, Unknown that it may have one or get one later, Conflict that a condition did
-// not hold, Fenced that the lease is gone, NotFound that a watch's history is no longer there.
+// The kind of an error says what may have happened: Unavailable and Overloaded mean that the call
+// had no effect, Unknown that it may have had one or may have one later, Conflict that an expected
+// revision did not match, Fenced that the lease no longer exists, NotFound that the history a watch
+// needs has been discarded.
 
 #pragma once
 
@@ -29,17 +30,18 @@
     StoreKey key;
     std::string value;
     Revision expected; // absentRevision: the key must not exist.
-    LeaseId lease = noLease; // The key vanishes with it.
+    LeaseId lease = noLease; // The key is deleted when it ends.
 };
 
 struct GrantedLease
 {
     LeaseId lease;
-    Duration lifetime {}; // As the store decided.
+    Duration lifetime {}; // As chosen by the store.
 };
 
-// An answer to a watch that is this much later than the watch was to wait is lost: its connection
-// may have gone silent. An answer takes 4 ms, and 240 ms from a store that is sixty times slower.
+// How long after its wait a watch may still be answered; then it fails, since its connection may be
+// dead without having been closed. An answer takes 4 ms, and 240 ms from a store that is sixty
+// times slower.
 constexpr Duration watchLateness = std::chrono::milliseconds(600);
 
 // Used on its event loop only. Every call returns within its timeout.
@@ -48,16 +50,16 @@
 public:
     virtual ~KeyValueStore() = default;
 
-    // All keys below `prefix`. Pages may be of different moments; `upTo` is the first page's, so a
-    // watch from there brings whatever changed meanwhile.
+    // All keys below `prefix`. Pages may be read at different revisions; `upTo` is the revision of
+    // the first page, so a watch from there returns all changes made in between.
     virtual Result<StoreSnapshot> list(const StoreKey &prefix, Yield yield) = 0;
 
     // Waits up to `wait` for changes below `prefix` after a revision. Fails if there is no answer
-    // `watchLateness` after that.
+    // within `watchLateness` after `wait`.
     virtual Result<WatchBatch> watch(const StoreKey &prefix, Revision after, Duration wait,
                                      Yield yield) = 0;
 
-    // Writes all or nothing, if every expected revision holds.
+    // Applies all writes atomically if every expected revision matches, otherwise none.
     virtual Result<Revision> commit(const std::vector<StoreWrite> &writes, Yield yield) = 0;
 
     virtual Result<GrantedLease> grantLease(Duration lifetime, Yield yield) = 0;
--- a/ramphinge/store/member_json.cpp
+++ b/ramphinge/store/member_json.cpp
@@ -1,4 +1,4 @@
-// Members as JSON: see member_json.h.
+// JSON form of membership entries: see member_json.h.
 
 #include "ramphinge/store/member_json.h"
 
@@ -36,8 +36,8 @@
         return member;
     } catch (const nlohmann::json::exception &e) {
         return Error(ErrorKind::InvalidInput,
-                     std::string("a member entry is wrong: ") + e.what()
-                         + "; give host, address, port, zone, domain and kind");
+                     std::string("invalid membership entry: ") + e.what()
+                         + "; host, address, port and zone are required");
     }
 }
 
--- a/ramphinge/store/member_json.h
+++ b/ramphinge/store/member_json.h
@@ -1,4 +1,4 @@
-// Members as JSON, the form shared by the store's adapter and the stand-in of the platform.
+// JSON form of membership entries, shared by the HTTP adapter and the fake platform.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 
 nlohmann::json toJson(const Member &member);
 
-// Errors: InvalidInput, naming the field.
+// Errors: InvalidInput, with the parser's message.
 Result<Member> memberFromJson(const nlohmann::json &json);
 
 } // namespace ramphinge
--- a/ramphinge/store/news_source.h
+++ b/ramphinge/store/news_source.h
@@ -1,5 +1,5 @@
-// Changes of the store's keys that come by way of another daemon, and what a daemon tells of its
-// own picture so that it can pass changes on.
+// Store changes that a daemon receives from a relay (a daemon that watches the store for others),
+// and the notifications about a relay's own view from which it serves them.
 
 #pragma once
 
@@ -12,8 +12,8 @@
 struct RelayedNews
 {
     WatchBatch batch;
-    // With the batch a picture holds every change up to this moment, on the asking side's clock.
-    // Not later than true.
+    // A view to which the batch is applied holds every change up to this time at least, on the
+    // requester's clock. May be too early, never too late.
     MonotonicTime provenAt;
 };
 
@@ -23,28 +23,29 @@
 public:
     virtual ~NewsSource() = default;
 
-    // Whether there is anybody to ask; `storeLost` as below.
+    // Whether there is a relay to ask; `storeLost` as in next().
     virtual bool canAsk(bool storeLost) const = 0;
 
-    // Waits up to `wait` for changes after a revision. `storeLost` says that the asking side can't
-    // reach the store itself: then a relay that can't either is waited for too. Errors: Unavailable
-    // (no link, or the relay has no picture of its own now), NotFound (its memory does not reach
-    // back), Overloaded (one change is larger than what is passed on), Unknown (no answer in time).
+    // Waits up to `wait` for changes after a revision. `storeLost` says that the requester can't
+    // reach the store itself; a relay that can't reach it either then answers only when it can
+    // again or `wait` is over. Errors: Unavailable (no link, or the relay has no current view),
+    // NotFound (the relay's history does not reach back to the revision), Overloaded (one change
+    // exceeds the size limit of a relayed answer), Unknown (no answer in time).
     virtual Result<RelayedNews> next(Revision after, Duration wait, bool storeLost,
                                      Yield yield) = 0;
 };
 
-// Follows the picture of a daemon that asks the store itself.
+// Is notified of changes to the view of a daemon that watches the store itself.
 class PictureListener
 {
 public:
     virtual ~PictureListener() = default;
 
-    // The picture was made anew: it holds all up to `upTo`, as of `provenAt`.
+    // The view was listed anew: it holds all changes up to `upTo`, and all made by `provenAt`.
     virtual void pictureListed(Revision upTo, MonotonicTime provenAt) = 0;
-    // It holds every change up to batch.upTo, and all there were at `provenAt`.
+    // The view holds every change up to batch.upTo, and all made by `provenAt`.
     virtual void pictureAdvanced(const WatchBatch &batch, MonotonicTime provenAt) = 0;
-    // The store can't be reached, or the picture has a gap and will be made anew.
+    // The store can't be reached, or the view misses changes and will be listed anew.
     virtual void pictureStopped() = 0;
 };
 
--- a/ramphinge/store/platform_store.cpp
+++ b/ramphinge/store/platform_store.cpp
@@ -1,4 +1,4 @@
-// Helpers over the platform's store: see platform_store.h.
+// Helpers for PlatformStore: see platform_store.h.
 
 #include "ramphinge/store/platform_store.h"
 
@@ -10,7 +10,7 @@
     if (!found.ok())
         return found.error();
     if (!found.value())
-        return Error(ErrorKind::NotFound, "the platform holds no " + key.text());
+        return Error(ErrorKind::NotFound, "the platform store has no key " + key.text());
     return *found.value();
 }
 
