--- a/ramphinge/gateway/claim_service.h
+++ b/ramphinge/gateway/claim_service.h
@@ -1,4 +1,4 @@
-// Where the gateway asks for the right to run a request that must not run twice.
+// Interface by which the gateway claims the idempotency key of a request that must not run twice.
 
 #pragma once
 
@@ -12,16 +12,17 @@
 public:
     virtual ~ClaimService() = default;
 
-    // Asks the key's owner, wherever it is. Errors: Unavailable if it can't be reached; the request
-    // may then have been granted to an earlier try, but this one was certainly not granted anything
-    // that will be used.
+    // Asks the key's owner, on whichever daemon it is. Errors: Unavailable if the owner can't be
+    // reached; an earlier try may then have been granted the key, and a grant to this one must not
+    // be used.
     virtual Result<ClaimAnswer> claim(const ClaimAttempt &attempt, Yield yield) = 0;
 
-    // Tells the owner what came of a grant. Best effort: without it the key stays "in progress".
+    // Reports the outcome of a granted claim to the owner. Best effort: if the report is lost, the
+    // key stays InProgress.
     virtual void settle(const ClaimAttempt &attempt, ClaimOutcome outcome,
                         std::optional<KeptAnswer> answer) = 0;
 
-    // A new stamped key for a caller.
+    // A new key with a stamp (see key_stamp.h), for a caller to use.
     virtual IdempotencyKey makeKey() = 0;
 };
 
--- a/ramphinge/gateway/sse_relay.cpp
+++ b/ramphinge/gateway/sse_relay.cpp
@@ -17,7 +17,7 @@
 
 bool SseRelay::feed(std::string_view bytes, std::string &out)
 {
-    // The usual piece begins and ends with whole events and is judged in place.
+    // Usually a read holds only complete events, which are handled without copying.
     std::string joined;
     if (!m_partial.empty()) {
         joined = std::move(m_partial);
@@ -31,7 +31,7 @@
             break;
         const std::string_view event = bytes.substr(0, end + eventEnd.size());
         bytes.remove_prefix(event.size());
-        const Verdict verdict = judge(event);
+        const Verdict verdict = classify(event);
         if (verdict == Verdict::Broken)
             return false;
         if (verdict == Verdict::Forward)
@@ -41,7 +41,7 @@
     return m_partial.size() <= maxEventBytes;
 }
 
-SseRelay::Verdict SseRelay::judge(std::string_view event)
+SseRelay::Verdict SseRelay::classify(std::string_view event)
 {
     if (event == doneEvent)
         m_done = true;
--- a/ramphinge/gateway/sse_relay.h
+++ b/ramphinge/gateway/sse_relay.h
@@ -1,10 +1,11 @@
-// Passes an upstream's server-sent events on, each token once, also over several upstreams.
+// Forwards an upstream's server-sent events, each token once, also across failover to another
+// upstream.
 //
-// The engine numbers its tokens by the events' ids. After a break the rest is asked of another
-// replica by position; whatever it repeats is dropped here, and a gap counts as a break.
+// Engines number the tokens in the events' ids. After a failure, another replica continues from a
+// position; tokens that it sends again are dropped here, and a gap counts as a failure.
 //
 //   SseRelay relay;
-//   if (!relay.feed(piece, out)) ...broken: resume from relay.position()...
+//   if (!relay.feed(piece, out)) ...failed: resume from relay.position()...
 //   forward(out);
 
 #pragma once
@@ -19,25 +20,25 @@
 class SseRelay
 {
 public:
-    // Appends to `out` what the caller should get of the upstream's next bytes. False if the stream
-    // can't be right: a gap, a malformed id, or an event that is too long.
+    // Parses the upstream's next bytes and appends to `out` the events to forward. False if the
+    // stream is invalid: a gap, a malformed id, or an event that is too long.
     bool feed(std::string_view bytes, std::string &out);
 
-    // Another upstream continues: forgets a half-received event.
+    // Discards a partially received event, before another upstream continues the stream.
     void restart() { m_partial.clear(); }
 
-    // Tokens passed on so far.
+    // Number of tokens forwarded so far.
     std::int64_t position() const { return m_position; }
 
-    // Whether the upstream said that the answer is whole.
+    // Whether the upstream marked the answer as complete.
     bool done() const { return m_done; }
 
 private:
     enum class Verdict { Forward, Drop, Broken };
 
-    Verdict judge(std::string_view event);
+    Verdict classify(std::string_view event);
 
-    std::string m_partial; // Invariant: no complete event; bounded.
+    std::string m_partial; // Invariant: holds no complete event; bounded.
     std::int64_t m_position = 0;
     bool m_done = false;
 };
