--- a/ramphinge/gateway/gateway_test.cpp
+++ b/ramphinge/gateway/gateway_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the gateway's pure parts: the relay over breaks, reading of callers' requests.
+// Tests of the gateway: forwarding of streams across failovers, parsing of callers' requests, and
+// claims of idempotency keys.
 
 #include <rapidcheck.h>
 
@@ -20,7 +21,7 @@
     return "id: " + std::to_string(position) + "\ndata: t" + std::to_string(position) + "\n\n";
 }
 
-std::string wholeStream(int tokens)
+std::string completeStream(int tokens)
 {
     std::string stream;
     for (int i = 1; i <= tokens; ++i)
@@ -49,20 +50,20 @@
     };
 }
 
-Json goodBody()
+Json validBody()
 {
     return { { "model", "chat" },
              { "messages", Json::array({ { { "role", "user" }, { "content", "hello" } } }) } };
 }
 
-// Grants every claim, after what the test does meanwhile.
-class SlowClaims : public ClaimService
+// Grants every claim, after calling `duringClaim`.
+class DelayedClaimService : public ClaimService
 {
 public:
     Result<ClaimAnswer> claim(const ClaimAttempt &, Yield) override
     {
-        if (meanwhile)
-            meanwhile();
+        if (duringClaim)
+            duringClaim();
         ClaimAnswer granted;
         granted.verdict = ClaimVerdict::Granted;
         granted.sendWithin = std::chrono::seconds(5);
@@ -71,11 +72,11 @@
     void settle(const ClaimAttempt &, ClaimOutcome, std::optional<KeptAnswer>) override { }
     IdempotencyKey makeKey() override { return IdempotencyKey("k"); }
 
-    std::function<void()> meanwhile;
+    std::function<void()> duringClaim;
 };
 
-// A plain service that keeps the number of the attempt that each request was.
-class AttemptKeeper : public HttpHandler
+// A plain service that records the attempt number of each request.
+class AttemptRecorder : public HttpHandler
 {
 public:
     void handle(HttpExchange &exchange, Yield yield) override
@@ -97,7 +98,7 @@
     return member;
 }
 
-AcceptedConfigPtr configurationOfAService()
+AcceptedConfigPtr serviceConfiguration()
 {
     AcceptedConfig config;
     config.configuration = parseConfiguration(Json::parse(R"({
@@ -115,30 +116,30 @@
 class GatewayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(GatewayTest);
-    CPPUNIT_TEST(relayPassesWholeStreamsOn);
-    CPPUNIT_TEST(relayDropsRepeatsAndRefusesGaps);
-    CPPUNIT_TEST(eachTokenOnceOverRandomBreaks);
-    CPPUNIT_TEST(wrongCredentialsAreRefused);
-    CPPUNIT_TEST(duplicatedHeadersAreRefused);
-    CPPUNIT_TEST(wrongBodiesAreRefusedWithARemedy);
-    CPPUNIT_TEST(tooDeepBodiesAreRefused);
-    CPPUNIT_TEST(goodRequestIsRead);
-    CPPUNIT_TEST(callersCantTakeTheMarkOff);
-    CPPUNIT_TEST(upstreamThatLeftDuringTheClaimIsNotUsed);
+    CPPUNIT_TEST(relayForwardsCompleteStreams);
+    CPPUNIT_TEST(relayDropsDuplicatesAndRejectsGaps);
+    CPPUNIT_TEST(eachTokenIsForwardedOnceAcrossFailovers);
+    CPPUNIT_TEST(invalidCredentialsAreRejected);
+    CPPUNIT_TEST(duplicateHeadersAreRejected);
+    CPPUNIT_TEST(invalidBodiesAreRejected);
+    CPPUNIT_TEST(deeplyNestedBodiesAreRejected);
+    CPPUNIT_TEST(validRequestIsRead);
+    CPPUNIT_TEST(callersCannotClearTheUnrepeatableMark);
+    CPPUNIT_TEST(upstreamRemovedDuringTheClaimIsNotUsed);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void relayPassesWholeStreamsOn()
+    void relayForwardsCompleteStreams()
     {
         SseRelay relay;
         std::string out;
-        CPPUNIT_ASSERT(relay.feed(wholeStream(5), out));
-        CPPUNIT_ASSERT_EQUAL(wholeStream(5), out);
+        CPPUNIT_ASSERT(relay.feed(completeStream(5), out));
+        CPPUNIT_ASSERT_EQUAL(completeStream(5), out);
         CPPUNIT_ASSERT(relay.done());
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 5 }, relay.position());
     }
 
-    void relayDropsRepeatsAndRefusesGaps()
+    void relayDropsDuplicatesAndRejectsGaps()
     {
         SseRelay relay;
         std::string out;
@@ -152,23 +153,23 @@
         CPPUNIT_ASSERT(!other.feed("id: x\n\n", out));
     }
 
-    void eachTokenOnceOverRandomBreaks()
+    void eachTokenIsForwardedOnceAcrossFailovers()
     {
         const bool held = rc::check("the caller gets each token once", [] {
             Random random(*rc::gen::arbitrary<std::uint32_t>());
             const int tokens = 1 + static_cast<int>(random.below(40));
-            const std::string whole = wholeStream(tokens);
+            const std::string whole = completeStream(tokens);
             SseRelay relay;
             std::string received;
             while (!relay.done()) {
-                // Another replica continues, perhaps a little before where it was asked to.
+                // Another replica continues, possibly from before the requested position.
                 relay.restart();
                 const auto from = static_cast<std::int64_t>(
                     random.below(static_cast<std::uint64_t>(relay.position()) + 1));
-                std::string rest = whole.substr(wholeStream(static_cast<int>(from)).size()
+                std::string rest = whole.substr(completeStream(static_cast<int>(from)).size()
                                                 - std::string("data: [DONE]\n\n").size());
-                const std::size_t breaksAt = random.below(rest.size() * 2);
-                rest.resize(std::min(rest.size(), breaksAt));
+                const std::size_t failsAt = random.below(rest.size() * 2);
+                rest.resize(std::min(rest.size(), failsAt));
                 while (!rest.empty()) {
                     const std::size_t size = 1 + random.below(rest.size());
                     RC_ASSERT(relay.feed(rest.substr(0, size), received));
@@ -180,24 +181,24 @@
         CPPUNIT_ASSERT(held);
     }
 
-    void wrongCredentialsAreRefused()
+    void invalidCredentialsAreRejected()
     {
-        HttpRequest request = completion(goodBody());
+        HttpRequest request = completion(validBody());
         request.headers = {};
         CPPUNIT_ASSERT_EQUAL(401, failureOf(m_reader.authenticate(request)).status);
         request.headers = { { "authorization", "Bearer wrong" } };
         CPPUNIT_ASSERT_EQUAL(401, failureOf(m_reader.authenticate(request)).status);
     }
 
-    void duplicatedHeadersAreRefused()
+    void duplicateHeadersAreRejected()
     {
-        HttpRequest request = completion(goodBody());
+        HttpRequest request = completion(validBody());
         request.headers.add("idempotency-key", "a");
         request.headers.add("Idempotency-Key", "b");
         CPPUNIT_ASSERT_EQUAL(400, failureOf(m_reader.authenticate(request)).status);
     }
 
-    void wrongBodiesAreRefusedWithARemedy()
+    void invalidBodiesAreRejected()
     {
         for (const char *text :
              { R"([])", R"({"model": 3})", R"({"model": "chat"})",
@@ -208,20 +209,20 @@
             CPPUNIT_ASSERT_EQUAL(400, failure.status);
             CPPUNIT_ASSERT(failure.outcome == Outcome::NotRun);
         }
-        Json other = goodBody();
+        Json other = validBody();
         other["model"] = "else";
         CPPUNIT_ASSERT_EQUAL(404, failureOf(read(completion(other))).status);
-        HttpRequest late = completion(goodBody());
+        HttpRequest late = completion(validBody());
         late.headers.add("x-deadline-ms", "-1");
         CPPUNIT_ASSERT_EQUAL(400, failureOf(read(late)).status);
     }
 
-    // Any caller could end a daemon by one request: its body is written anew for the upstream,
-    // which is recursive in the depth, and 700 lists in each other took more than a coroutine's 64
-    // KB.
-    void tooDeepBodiesAreRefused()
+    // A caller could crash the daemon with one request: its body is serialized again for the
+    // upstream, which recurses into nested lists, and 700 levels overflowed a coroutine's stack of
+    // 64 KB.
+    void deeplyNestedBodiesAreRejected()
     {
-        HttpRequest request = completion(goodBody());
+        HttpRequest request = completion(validBody());
         const auto withDepth = [&request](std::size_t levels) {
             HttpRequest deep = request;
             deep.body.insert(
@@ -235,9 +236,9 @@
         CPPUNIT_ASSERT(std::holds_alternative<CompletionRequest>(read(request)));
     }
 
-    void goodRequestIsRead()
+    void validRequestIsRead()
     {
-        HttpRequest request = completion(goodBody());
+        HttpRequest request = completion(validBody());
         request.headers.add("x-deadline-ms", "500");
         const auto result = read(request);
         const auto &read = std::get<CompletionRequest>(result);
@@ -248,7 +249,7 @@
                              Json::parse(read.upstreamBody)["model"].get<std::string>());
     }
 
-    void callersCantTakeTheMarkOff()
+    void callersCannotClearTheUnrepeatableMark()
     {
         HttpRequest request { "POST", "/x", { { "x-unrepeatable", "false" } }, "" };
         const auto common =
@@ -256,31 +257,29 @@
         CPPUNIT_ASSERT(std::get<CallerRequest>(common).unrepeatable);
     }
 
-    // What users could have seen: a daemon that ends by a segmentation fault as the members change.
-    //
-    // Order of events: an upstream is chosen for a request with a key, the key's owner is asked,
-    // and meanwhile the platform tells another list of members. Cause: the chosen upstream was kept
-    // as a pointer into the list, which the new one takes the place of. Evidence: the first attempt
-    // went wherever the freed memory said; what was left for the other upstream was the second.
-    void upstreamThatLeftDuringTheClaimIsNotUsed()
+    // Guards against a use after free, which could crash the daemon with a segmentation fault: an
+    // upstream was chosen for a request with a key and kept as a pointer while the key's owner was
+    // asked, and a new membership list replaced the upstreams meanwhile. The first attempt then
+    // used freed memory, and the remaining upstream got only the second.
+    void upstreamRemovedDuringTheClaimIsNotUsed()
     {
         IoContext io(1);
-        AttemptKeeper left;
-        AttemptKeeper present;
+        AttemptRecorder left;
+        AttemptRecorder present;
         const auto first = HttpServer::listen(io, { "127.0.0.1", 0 }, {}, left);
         const auto second = HttpServer::listen(io, { "127.0.0.1", 0 }, {}, present);
         CPPUNIT_ASSERT(first.ok() && second.ok());
-        SlowClaims claims;
-        const SystemClock clock; // The client judges by it whether the claim still holds.
+        DelayedClaimService claims;
+        const SystemClock clock; // The client checks the claim's expiry against it.
         Timeline timeline(DaemonId("d"), clock, "");
         Metrics metrics;
         Gateway gateway(io, clock, {}, claims, timeline, metrics);
-        gateway.setConfig(configurationOfAService());
+        gateway.setConfig(serviceConfiguration());
         gateway.setServingCheck([](MonotonicTime) {
             return ServingDecision { ServingMode::Confirmed, {}, false };
         });
         gateway.setServices({ memberAt("h1", *first.value()) });
-        claims.meanwhile = [&] { gateway.setServices({ memberAt("h2", *second.value()) }); };
+        claims.duringClaim = [&] { gateway.setServices({ memberAt("h2", *second.value()) }); };
         RecordedExchange caller(
             { "POST",
               "/s/x",
