--- a/ramphinge/gateway/caller_request.cpp
+++ b/ramphinge/gateway/caller_request.cpp
@@ -1,4 +1,4 @@
-// Reading callers' requests: see caller_request.h.
+// Parsing and validation of callers' requests: see caller_request.h.
 
 #include "ramphinge/gateway/caller_request.h"
 
@@ -15,13 +15,13 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t prefixBytes = 256;
-constexpr std::int64_t charactersPerToken = 4;
+constexpr std::int64_t bytesPerToken = 4;
 constexpr std::size_t maxKeyBytes = 200;
 constexpr std::int64_t maxAnswerTokens = 1'000'000;
 constexpr std::int64_t maxDeadlineMilliseconds = 3'600'000;
-constexpr std::string_view bearer = "Bearer ";
-const char *const singleHeaders[] = { "authorization", "idempotency-key", "x-deadline-ms",
-                                      "x-unrepeatable", "content-type" };
+constexpr std::string_view bearerScheme = "Bearer ";
+const char *const singletonHeaders[] = { "authorization", "idempotency-key", "x-deadline-ms",
+                                         "x-unrepeatable", "content-type" };
 
 Failure unauthorized()
 {
@@ -32,14 +32,14 @@
 
 std::optional<std::string> duplicatedHeader(const HttpRequest &request)
 {
-    for (const char *name : singleHeaders) {
+    for (const char *name : singletonHeaders) {
         if (request.headers.count(name) > 1)
             return name;
     }
     return std::nullopt;
 }
 
-// The text that decides whether two prompts share a cached beginning.
+// The prompt's text, whose beginning decides whether two prompts can share cached work.
 std::string promptText(const Json &messages)
 {
     std::string text;
@@ -49,7 +49,7 @@
     return text;
 }
 
-bool messagesAreSound(const Json &body)
+bool areMessagesValid(const Json &body)
 {
     const auto messages = body.find("messages");
     if (messages == body.end() || !messages->is_array() || messages->empty())
@@ -62,7 +62,7 @@
 
 } // namespace
 
-std::uint64_t prefixOf(const std::string &prompt, const std::string &adapter)
+std::uint64_t promptPrefixHash(const std::string &prompt, const std::string &adapter)
 {
     return stableHash(std::string_view(prompt).substr(0, prefixBytes), stableHash(adapter));
 }
@@ -70,11 +70,12 @@
 std::variant<const Account *, Failure> RequestReader::authenticate(const HttpRequest &request) const
 {
     if (const auto name = duplicatedHeader(request))
-        return invalidRequest("the header " + *name + " stands twice; send it once");
+        return invalidRequest("the header " + *name + " is repeated; send it once");
     const auto header = request.headers.find("authorization");
-    if (!header || header->substr(0, bearer.size()) != bearer)
+    if (!header || header->substr(0, bearerScheme.size()) != bearerScheme)
         return unauthorized();
-    const Account *account = m_configuration.accountByKey(sha256Hex(header->substr(bearer.size())));
+    const Account *account =
+        m_configuration.accountByKey(sha256Hex(header->substr(bearerScheme.size())));
     if (account == nullptr)
         return unauthorized();
     return account;
@@ -97,13 +98,13 @@
             std::from_chars(text->data(), text->data() + text->size(), milliseconds);
         const bool whole = parsed.ec == std::errc() && parsed.ptr == text->data() + text->size();
         if (!whole || milliseconds < 1 || milliseconds > maxDeadlineMilliseconds)
-            return invalidRequest("x-deadline-ms must be whole milliseconds from 1 to an hour");
+            return invalidRequest("x-deadline-ms must be an integer from 1 to 3600000, one hour");
         common.deadline = now + Milliseconds(milliseconds);
     }
     if (const auto mark = request.headers.find("x-unrepeatable")) {
         if (*mark != "true" && *mark != "false")
             return invalidRequest("x-unrepeatable must be true or false");
-        // A caller may only add the mark; the configuration's own stays.
+        // A caller may add the mark but not remove the one that the configuration sets.
         common.unrepeatable = unrepeatable || *mark == "true";
     }
     if (const auto key = request.headers.find("idempotency-key")) {
@@ -130,22 +131,22 @@
     Json &body = parsed.value();
     if (!body.is_object() || !body.contains("model") || !body["model"].is_string())
         return invalidRequest("the body must be a JSON object with \"model\" and \"messages\"");
-    if (!messagesAreSound(body))
+    if (!areMessagesValid(body))
         return invalidRequest("\"messages\" must be a list of objects with \"role\" and \"content\""
-                              " as text");
+                              " strings");
     const auto alias = body["model"].get<std::string>();
     const ModelGrant *grant = account.grantFor(alias);
     if (grant == nullptr) {
         return Failure { 404, "unknown_model",
                          "this account has no model \"" + alias
-                             + "\"; GET /v1/models lists its own",
+                             + "\"; GET /v1/models lists the available ones",
                          Outcome::NotRun, std::nullopt };
     }
     const Json maxTokens = body.value("max_tokens", Json(m_defaults.maxAnswer.count()));
     const Json stream = body.value("stream", Json(false));
     if (!maxTokens.is_number_integer() || maxTokens.get<std::int64_t>() < 1
         || maxTokens.get<std::int64_t>() > maxAnswerTokens || !stream.is_boolean())
-        return invalidRequest("\"max_tokens\" must be a whole number from 1 to 1000000 and"
+        return invalidRequest("\"max_tokens\" must be an integer from 1 to 1000000 and"
                               " \"stream\" true or false");
     const std::string prompt = promptText(body["messages"]);
     CompletionRequest completion;
@@ -154,9 +155,8 @@
     completion.adapter = grant->adapter;
     completion.priority = grant->priority;
     completion.stream = stream.get<bool>();
-    completion.prefix = prefixOf(prompt, grant->adapter);
-    completion.promptTokens =
-        Tokens(static_cast<std::int64_t>(prompt.size()) / charactersPerToken + 1);
+    completion.prefix = promptPrefixHash(prompt, grant->adapter);
+    completion.promptTokens = Tokens(static_cast<std::int64_t>(prompt.size()) / bytesPerToken + 1);
     completion.maxAnswer = Tokens(maxTokens.get<std::int64_t>());
     body["model"] = grant->model.text();
     if (!grant->adapter.empty())
--- a/ramphinge/gateway/caller_request.h
+++ b/ramphinge/gateway/caller_request.h
@@ -1,5 +1,5 @@
-// A caller's request, read and checked: who asks, for what, until when, and whether it may be
-// repeated.
+// Parsing and validation of callers' requests: account, model or service, deadline, and whether the
+// request may be retried.
 
 #pragma once
 
@@ -13,29 +13,29 @@
 
 namespace ramphinge {
 
-// The limits of a request that names none.
+// Limits of requests that state none.
 struct RequestDefaults
 {
     Duration deadline = std::chrono::seconds(60);
     Tokens maxAnswer { 512 };
 };
 
-// What all requests have in common.
+// The fields that requests of all kinds have.
 struct CallerRequest
 {
     RequestId id;
     AccountId account;
     MonotonicTime arrived;
     MonotonicTime deadline;
-    bool unrepeatable = false; // At most one attempt may reach an upstream.
-    IdempotencyKey key; // Empty: the caller gave none.
-    std::uint64_t fingerprint = 0; // Of method, target and body: the same key must mean the same.
+    bool unrepeatable = false; // Marked by the caller or by the configuration of the service.
+    IdempotencyKey key; // Empty if the caller gave none.
+    std::uint64_t fingerprint = 0; // Of method, target and body; must be the same for the same key.
 
     // Whether at most one attempt may reach an upstream.
     bool atMostOnce() const { return unrepeatable || !key.empty(); }
 };
 
-// A completion of a model.
+// A chat completion by a model.
 struct CompletionRequest
 {
     CallerRequest common;
@@ -43,17 +43,18 @@
     std::string adapter;
     int priority = 0;
     bool stream = false;
-    std::uint64_t prefix = 0; // Hash of the beginning of the prompt.
+    std::uint64_t prefix = 0; // See promptPrefixHash().
     Tokens promptTokens; // Estimated.
     Tokens maxAnswer;
-    std::string upstreamBody; // The caller's body with the model's own name.
+    std::string upstreamBody; // The caller's body with the alias replaced by the model's name.
 };
 
-// What decides which replicas hold a prompt's beginning in their cache. `prompt` is the messages'
-// text as the engines join it.
-std::uint64_t prefixOf(const std::string &prompt, const std::string &adapter);
+// Hash of the beginning of a prompt and of its adapter. Prompts with the same hash are routed to
+// the same replicas, which may have the prefix cached. `prompt` is the messages' text as engines
+// join it.
+std::uint64_t promptPrefixHash(const std::string &prompt, const std::string &adapter);
 
-// Reads requests against one configuration. Pure but for ids.
+// Parses requests against one configuration. Has no side effects.
 class RequestReader
 {
 public:
@@ -64,7 +65,8 @@
     // The account whose key the request carries.
     std::variant<const Account *, Failure> authenticate(const HttpRequest &request) const;
 
-    // Deadline, key and mark. `unrepeatable` as far as the path decides it.
+    // Parses deadline, key and unrepeatable mark. `unrepeatable`: whether the configuration marks
+    // the request.
     std::variant<CallerRequest, Failure> readCommon(const HttpRequest &request,
                                                     const Account &account, bool unrepeatable,
                                                     MonotonicTime now, RequestId id) const;
--- a/ramphinge/gateway/failure.h
+++ b/ramphinge/gateway/failure.h
@@ -1,4 +1,4 @@
-// What a caller is told when it gets no answer: a typed error that says whether the request ran.
+// Errors returned to callers: each has a stable type and says whether the request ran.
 
 #pragma once
 
@@ -12,11 +12,12 @@
 
 namespace ramphinge {
 
-// Said in the field "outcome" of the error and in the header x-ramphinge-outcome.
+// Whether the request ran, as stated in the error's field "outcome" and in the header
+// x-ramphinge-outcome.
 enum class Outcome {
-    NotRun, // Certain. Trying again can't run it twice.
+    NotRun, // It certainly did not run; a retry can't run it twice.
     Unknown, // It may have run.
-    Ran, // It ran; its answer is no longer kept.
+    Ran, // It ran; its answer is no longer stored.
 };
 
 const char *toString(Outcome outcome);
@@ -25,22 +26,22 @@
 {
     int status = 503;
     std::string type; // Stable, lower case; see docs/OPERATIONS.md.
-    std::string message; // With the remedy.
+    std::string message; // Says what the caller can do.
     Outcome outcome = Outcome::NotRun;
     std::optional<Duration> retryAfter;
 };
 
-// As a whole answer, with the outcome's header and Retry-After (whole seconds, rounded up; the
-// exact time is in the body).
+// The failure as a complete response, with x-ramphinge-outcome and Retry-After (whole seconds,
+// rounded up; the exact delay is in the body).
 HttpResponse toResponse(const Failure &failure, const RequestId &request);
 
-// As the last event of a stream that has begun.
+// The failure as the last event of a stream that has begun.
 std::string toStreamEvent(const Failure &failure, const RequestId &request);
 
-// Failures that several places give.
+// Failures that several callers construct.
 Failure invalidRequest(const std::string &message);
 Failure noReplica(const ModelId &model);
-Failure deadlinePassed(Outcome outcome);
-Failure upstreamBroke(Outcome outcome);
+Failure deadlineExceeded(Outcome outcome);
+Failure upstreamFailed(Outcome outcome);
 
 } // namespace ramphinge
--- a/ramphinge/gateway/gateway.cpp
+++ b/ramphinge/gateway/gateway.cpp
@@ -1,12 +1,12 @@
-// The gateway: see gateway.h. Takes requests apart and hands them to the runs in internal/.
+// Authentication and dispatch of callers' requests: see gateway.h. The handlers are in internal/.
 
 #include "ramphinge/gateway/gateway.h"
 
 #include <nlohmann/json.hpp>
 
-#include "ramphinge/gateway/internal/completion_run.h"
 #include "ramphinge/gateway/internal/context.h"
-#include "ramphinge/gateway/internal/service_run.h"
+#include "ramphinge/gateway/internal/proxied_completion.h"
+#include "ramphinge/gateway/internal/proxied_service_call.h"
 
 namespace ramphinge {
 
@@ -19,22 +19,22 @@
 constexpr Duration drainingRetryAfter = std::chrono::seconds(1);
 constexpr int misdirectedStatus = 421;
 
-// Counts a request of an account while it lives.
-class InProgress
+// Counts a request of an account for the lifetime of this object.
+class InProgressCount
 {
 public:
-    InProgress(std::map<AccountId, int> &counts, AccountId account)
+    InProgressCount(std::map<AccountId, int> &counts, AccountId account)
         : m_counts(counts), m_account(std::move(account))
     {
         ++m_counts[m_account];
     }
-    ~InProgress()
+    ~InProgressCount()
     {
         if (--m_counts[m_account] == 0)
             m_counts.erase(m_account);
     }
-    InProgress(const InProgress &) = delete;
-    InProgress &operator=(const InProgress &) = delete;
+    InProgressCount(const InProgressCount &) = delete;
+    InProgressCount &operator=(const InProgressCount &) = delete;
 
 private:
     std::map<AccountId, int> &m_counts;
@@ -59,8 +59,9 @@
     void handleService(HttpExchange &exchange, const Account &account, const ServiceSpec &service,
                        const RequestId &id, Yield yield);
     void listModels(HttpExchange &exchange, const Account &account, Yield yield);
-    std::optional<Failure> heldElsewhere(const Account &account) const;
-    std::optional<Failure> undecided(const ServingDecision &serving, const Account &account) const;
+    std::optional<Failure> holdingFailure(const Account &account) const;
+    std::optional<Failure> undecidedChangeFailure(const ServingDecision &serving,
+                                                  const Account &account) const;
     void applyWeights();
 
     RequestReader reader() const
@@ -92,10 +93,10 @@
     m_impl->prepared = std::move(prepared);
 }
 
-// While the zone is cut off, a confirmed change may have been accepted or not: whatever it changes
-// is refused until the zone is told.
-std::optional<Failure> Gateway::Impl::undecided(const ServingDecision &serving,
-                                                const Account &account) const
+// While the zone is partitioned from the others, a confirmed change may or may not have been
+// accepted: accounts that it changes are refused until the zone learns the decision.
+std::optional<Failure> Gateway::Impl::undecidedChangeFailure(const ServingDecision &serving,
+                                                             const Account &account) const
 {
     if (!serving.inDoubt || serving.mode != ServingMode::ZoneAlone || !prepared)
         return std::nullopt;
@@ -104,8 +105,8 @@
     if (same)
         return std::nullopt;
     return Failure { 503, "change_undecided",
-                     "a change of this account's configuration is undecided while the zone is cut "
-                     "off; ask another zone or come back after the time given",
+                     "a change of this account's configuration is undecided while the zone is "
+                     "partitioned; ask another zone or retry after the delay given",
                      Outcome::NotRun, undecidedRetryAfter };
 }
 
@@ -124,7 +125,7 @@
 {
     m_impl->context.replicas.setReplicas(entries, m_impl->context.clock.now());
     for (const auto &[model, pool] : m_impl->context.pools)
-        pool->pump();
+        pool->startWaiting();
 }
 
 void Gateway::setServices(const std::vector<Member> &members)
@@ -155,7 +156,7 @@
         }
     }
     for (const auto &[model, pool] : context.pools)
-        pool->pump();
+        pool->startWaiting();
 }
 
 void Gateway::setSharers(int daemons)
@@ -168,7 +169,7 @@
     m_impl->context.replicas.report(replica, report);
     const std::optional<ReplicaEntry> entry = m_impl->context.replicas.find(replica);
     if (entry)
-        m_impl->context.poolFor(entry->model).pump();
+        m_impl->context.poolFor(entry->model).startWaiting();
 }
 
 void Gateway::addRemoteService(const ModelService &service)
@@ -219,7 +220,7 @@
         return { { "refused", "the account has no such model" } };
     const MonotonicTime now = context.clock.now();
     const std::vector<Candidate> candidates = context.replicas.candidates(grant->model, now);
-    const RouteQuery query { prefixOf("user:" + prompt + "\n", grant->adapter), {} };
+    const RouteQuery query { promptPrefixHash("user:" + prompt + "\n", grant->adapter), {} };
     const auto chosen = context.policy->choose(query, candidates);
     Json list = Json::array();
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -267,14 +268,14 @@
                             Outcome::NotRun, std::nullopt },
                           none);
     case HttpFault::SlowSender:
-        return toResponse({ 408, "too_slow", "the request did not arrive in time; send it again",
+        return toResponse({ 408, "too_slow", "the request did not arrive in time; retry",
                             Outcome::NotRun, std::nullopt },
                           none);
     case HttpFault::Malformed:
     case HttpFault::TooManyConnections:
         break;
     }
-    return toResponse(invalidRequest("this is no well-formed HTTP/1.1 request"), none);
+    return toResponse(invalidRequest("malformed HTTP/1.1 request"), none);
 }
 
 void Gateway::handle(HttpExchange &exchange, Yield yield)
@@ -290,14 +291,14 @@
     const ServingDecision serving = servingCheck(context.clock.now());
     const bool keyed = exchange.request().headers.count("idempotency-key") > 0;
     if (!context.config || serving.mode == ServingMode::Refusing) {
-        // An earlier try with the key may have run elsewhere; from here nobody can be asked.
+        // An earlier try with the key may have run elsewhere; its owner can't be asked.
         const Failure failure { 503, "not_in_service", serving.reason,
                                 keyed ? Outcome::Unknown : Outcome::NotRun, notServingRetryAfter };
         CallerRequest request;
         request.id = id;
         return context.fail(exchange, request, failure, yield);
     }
-    const AcceptedConfigPtr config = context.config; // Stays the same for the whole request.
+    const AcceptedConfigPtr config = context.config; // Kept alive during the request.
     const auto account = reader().authenticate(exchange.request());
     if (const auto *failure = std::get_if<Failure>(&account)) {
         CallerRequest request;
@@ -317,7 +318,7 @@
     exchange.respond(jsonResponse(healthy ? 200 : 503, body.dump()), yield);
 }
 
-std::optional<Failure> Gateway::Impl::heldElsewhere(const Account &account) const
+std::optional<Failure> Gateway::Impl::holdingFailure(const Account &account) const
 {
     const Configuration &configuration = context.config->configuration;
     switch (configuration.holdingOf(account.account).phase) {
@@ -325,11 +326,11 @@
         return std::nullopt;
     case HoldingPhase::Draining:
         return Failure { 503, "handing_over",
-                         "this account is being handed over; come back after the time given",
+                         "this account is being handed over; retry after the delay given",
                          Outcome::NotRun, drainingRetryAfter };
     case HoldingPhase::There:
         return Failure { misdirectedStatus, "held_elsewhere",
-                         "this account is served by the other side: ask "
+                         "this account is served by another system: send requests to "
                              + configuration.otherSide().callers,
                          Outcome::NotRun, std::nullopt };
     }
@@ -345,15 +346,15 @@
     CallerRequest anonymous;
     anonymous.id = id;
     anonymous.account = account.account;
-    std::optional<Failure> failure = heldElsewhere(account);
+    std::optional<Failure> failure = holdingFailure(account);
     if (!failure)
-        failure = undecided(serving, account);
+        failure = undecidedChangeFailure(serving, account);
     if (failure) {
         if (request.headers.count("idempotency-key") > 0)
             failure->outcome = Outcome::Unknown; // An earlier try may have run before the handover.
         return context.fail(exchange, anonymous, *failure, yield);
     }
-    const InProgress counted(context.inProgress, account.account);
+    const InProgressCount counted(context.inProgress, account.account);
     if (path == "/v1/chat/completions" && request.method == "POST")
         return handleCompletion(exchange, account, id, yield);
     if (path == "/v1/models" && request.method == "GET")
@@ -366,11 +367,12 @@
     const ServiceSpec *service = context.config->configuration.serviceForPath(path);
     if (service != nullptr && account.mayUse(service->service))
         return handleService(exchange, account, *service, id, yield);
-    context.fail(exchange, anonymous,
-                 { 404, "not_found",
-                   "this account has nothing at " + path + "; check the path and the configuration",
-                   Outcome::NotRun, std::nullopt },
-                 yield);
+    context.fail(
+        exchange, anonymous,
+        { 404, "not_found",
+          "no service of this account matches " + path + "; check the path and the configuration",
+          Outcome::NotRun, std::nullopt },
+        yield);
 }
 
 void Gateway::Impl::handleCompletion(HttpExchange &exchange, const Account &account,
@@ -385,7 +387,7 @@
     }
     auto &completion = std::get<CompletionRequest>(request);
     context.record(EventKind::RequestReceived, completion.common);
-    internal::CompletionRun(context, exchange, std::move(completion)).run(yield);
+    internal::ProxiedCompletion(context, exchange, std::move(completion)).run(yield);
 }
 
 void Gateway::Impl::handleService(HttpExchange &exchange, const Account &account,
@@ -402,7 +404,7 @@
     }
     auto &common = std::get<CallerRequest>(request);
     context.record(EventKind::RequestReceived, common);
-    internal::ServiceRun(context, exchange, std::move(common), service).run(yield);
+    internal::ProxiedServiceCall(context, exchange, std::move(common), service).run(yield);
 }
 
 void Gateway::Impl::listModels(HttpExchange &exchange, const Account &account, Yield yield)
--- a/ramphinge/gateway/gateway.h
+++ b/ramphinge/gateway/gateway.h
@@ -1,7 +1,7 @@
-// The callers' side of the daemon: completions of models, plain services, health.
+// The daemon's HTTP handler for callers: chat completions, plain services and health.
 //
-// Lives on the request loop. Everything it needs to know is set from outside; it decides on each
-// request alone, without a call to the platform (requests with a key ask the key's owner).
+// Used on the request loop only. Its state is set from outside; it handles requests without calls
+// to the platform (for a request with an idempotency key it asks the key's owner).
 //
 //   Gateway gateway(io, clock, options, claims, timeline, metrics);
 //   gateway.setConfig(config);
@@ -35,14 +35,14 @@
     std::vector<ZoneDistance> zones;
     RequestDefaults defaults;
     Duration firstTokenDeadline = std::chrono::seconds(1);
-    Duration stallTimeout = std::chrono::seconds(10); // Between two pieces of an answer.
+    Duration stallTimeout = std::chrono::seconds(10); // For the next bytes of an answer.
     int maxAttempts = 3;
     RoutingChoice routing = RoutingChoice::Affinity;
     bool fairness = true;
     std::size_t maxAnswerBytes = 16 * 1024 * 1024;
 };
 
-// Service given to accounts of one model, since last asked.
+// Tokens served to each account by one model since the last report (see FairQueue).
 struct ModelService
 {
     ModelId model;
@@ -58,37 +58,38 @@
 
     void setConfig(AcceptedConfigPtr config);
 
-    // A confirmed change that is not decided as far as known; null if there is none. While the zone
-    // is cut off, accounts that it changes are refused.
+    // A confirmed configuration that is neither accepted nor rejected as far as known; null if
+    // there is none. While the zone is partitioned from the others, accounts that it changes are
+    // refused.
     void setPrepared(AcceptedConfigPtr prepared);
     void setReplicas(const std::vector<ReplicaEntry> &entries);
 
-    // All members of the platform's list that are plain services.
+    // Members of the platform's list; only those of plain services are used.
     void setServices(const std::vector<Member> &members);
 
-    // Hosts that get nothing new. Calls in progress at those in `dead` end at once.
+    // `unusable` hosts get no new requests. Calls in progress to those in `dead` are cancelled.
     void setUnusableHosts(const std::set<HostId> &unusable, const std::set<HostId> &dead);
     void setSharers(int daemons);
     void reportLoad(const ReplicaId &replica, const LoadReport &report);
     void addRemoteService(const ModelService &service);
 
-    // Asked at each request, with the present time.
+    // `check` is called for each request, with the current time.
     void setServingCheck(std::function<ServingDecision(MonotonicTime)> check);
 
-    // From now on health is red; what comes is still served.
+    // From now on the health check fails; requests are still served.
     void startDraining();
 
     std::vector<ModelService> takeService();
     const ReplicaTable &replicas() const;
 
-    // Where a request of this account for this model would go now, for operators.
+    // How a request of this account for this model would be routed now, for operators.
     nlohmann::json explain(const AccountId &account, const std::string &alias,
                            const std::string &prompt);
 
-    // Requests that wait, by model; and the accounts among them.
+    // Queued requests by model, and the state of each replica, for operators.
     nlohmann::json status();
 
-    // Requests of the account that have been taken in and not answered yet.
+    // Requests of the account that were admitted and not answered yet.
     int inProgress(const AccountId &account) const;
 
     void handle(HttpExchange &exchange, Yield yield) override;
--- a/ramphinge/gateway/internal/context.cpp
+++ b/ramphinge/gateway/internal/context.cpp
@@ -1,4 +1,4 @@
-// Shared parts of the gateway: see context.h.
+// State that the parts of a gateway share: see context.h.
 
 #include "ramphinge/gateway/internal/context.h"
 
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr Duration ownerRetryAfter = std::chrono::seconds(1);
-constexpr Milliseconds opaqueKeyHorizon = std::chrono::minutes(10);
-constexpr Milliseconds stampSkew = std::chrono::seconds(1); // Twice that between two clocks.
+// Keys without a stamp are presumed to be at most this old.
+constexpr Milliseconds opaqueKeyMaxAge = std::chrono::minutes(10);
+constexpr Milliseconds maxStampSkew = std::chrono::seconds(1); // Twice the skew between two clocks.
 
 std::unique_ptr<RoutingPolicy> makePolicy(RoutingChoice choice)
 {
@@ -30,7 +31,7 @@
     ReplicaTableOptions table;
     table.ownZone = options.zone;
     table.zones = options.zones;
-    // Without fairness requests wait at the engines, in order of arrival.
+    // Without fair queueing, requests wait at the engines in order of arrival.
     constexpr double unboundedDepth = 1000;
     if (!options.fairness)
         table.queueDepth = unboundedDepth;
@@ -42,37 +43,36 @@
     return { 409, type, message, outcome, std::nullopt };
 }
 
-// What the caller is told when the owner does not grant its key.
-Failure failureOf(ClaimVerdict verdict)
+// The failure that a caller gets when the owner does not grant its key.
+Failure failureForVerdict(ClaimVerdict verdict)
 {
     switch (verdict) {
     case ClaimVerdict::InProgress:
         return { 409, "in_progress",
-                 "an earlier try with this key is being run; ask again with the same key",
+                 "an earlier request with this key is running; retry with the same key",
                  Outcome::Unknown, ownerRetryAfter };
     case ClaimVerdict::Ran:
         return conflict("already_run",
-                        "this key's request has run; its answer is not kept any more",
+                        "the request with this key has run; its answer is no longer stored",
                         Outcome::Ran);
     case ClaimVerdict::Indeterminate:
         return conflict("outcome_unknown",
-                        "an earlier try with this key may have run, and will not be run again",
+                        "an earlier request with this key may have run; it is not run again",
                         Outcome::Unknown);
     case ClaimVerdict::KeyReused:
-        return { 422, "key_reused", "this key belongs to another request; make a new key",
+        return { 422, "key_reused", "this key was used for a different request; use a new key",
                  Outcome::NotRun, std::nullopt };
     case ClaimVerdict::CantVouch:
-        return conflict(
-            "cannot_vouch",
-            "this key is older than what its present owner can vouch for: an earlier try"
-            " may have run. If there was none, make a new key",
-            Outcome::Unknown);
+        return conflict("cannot_vouch",
+                        "this key predates the records of its current owner: an earlier request may"
+                        " have run. If there was none, use a new key",
+                        Outcome::Unknown);
     case ClaimVerdict::Granted:
     case ClaimVerdict::NotOwner:
         break;
     }
     return { 503, "key_owner_unavailable",
-             "the owner of this key can't be asked now; asking again with the same key is safe",
+             "the owner of this key is unreachable; retrying with the same key is safe",
              Outcome::Unknown, ownerRetryAfter };
 }
 
@@ -161,7 +161,8 @@
         return failure;
     KeyClaim claim(*this, request);
     if (!claim.acquire(yield))
-        return failure; // Granted: no earlier try was sent. The claim gives itself back.
+        return failure; // Granted: no earlier try was sent. The claim's destructor gives the key
+                        // back.
     failure.outcome = Outcome::Unknown;
     return failure;
 }
@@ -199,14 +200,14 @@
         return std::nullopt;
     settle();
     if (mayPredateHolding())
-        return failureOf(ClaimVerdict::CantVouch);
+        return failureForVerdict(ClaimVerdict::CantVouch);
     ++m_tries;
     const MonotonicTime asked = m_context.clock.now();
     const Result<ClaimAnswer> answer = m_context.claims.claim(attempt(), yield);
     if (!answer.ok()) {
-        // It may have been granted without our knowing; it was not sent.
+        // The claim may have been granted although the answer was lost; nothing was sent.
         m_context.claims.settle(attempt(), ClaimOutcome::NotSent, std::nullopt);
-        return failureOf(ClaimVerdict::NotOwner);
+        return failureForVerdict(ClaimVerdict::NotOwner);
     }
     const ClaimVerdict verdict = answer.value().verdict;
     const bool granted = verdict == ClaimVerdict::Granted;
@@ -219,7 +220,7 @@
     }
     if (verdict == ClaimVerdict::Ran && answer.value().kept)
         return *answer.value().kept;
-    return failureOf(verdict);
+    return failureForVerdict(verdict);
 }
 
 bool KeyClaim::acquireOrAnswer(HttpExchange &exchange, Yield yield)
@@ -241,7 +242,8 @@
     return m_request.key.empty() || (m_granted && m_context.clock.now() < *m_sendBy);
 }
 
-// What the account's earlier holder, the other side of a migration, may have run is not run here.
+// Whether the key may have been used before this side held the account. The other side of the
+// migration may then have run the request, so it is not run here.
 bool KeyClaim::mayPredateHolding() const
 {
     const Holding holding = m_context.config->configuration.holdingOf(m_request.account);
@@ -249,11 +251,11 @@
         return false;
     const std::optional<KeyStamp> stamp = parseKeyStamp(m_request.key);
     if (!stamp)
-        return m_context.clock.wallNow() < holding.since + opaqueKeyHorizon;
-    return stamp->birth <= holding.since + stampSkew;
+        return m_context.clock.wallNow() < holding.since + opaqueKeyMaxAge;
+    return stamp->birth <= holding.since + maxStampSkew;
 }
 
-void KeyClaim::ran(KeptAnswer answer)
+void KeyClaim::recordAnswer(KeptAnswer answer)
 {
     m_outcome = ClaimOutcome::Ran;
     m_answer = std::move(answer);
--- a/ramphinge/gateway/internal/context.h
+++ b/ramphinge/gateway/internal/context.h
@@ -1,4 +1,5 @@
-// What the parts of one gateway share. Internal to the gateway library; lives on the request loop.
+// State that the parts of one gateway share. Internal to the gateway library; used on the request
+// loop only.
 
 #pragma once
 
@@ -19,11 +20,11 @@
 
 namespace ramphinge::internal {
 
-// Calls in progress at each upstream, so that those at a lost one end at once.
+// Calls in progress by upstream, so that those to a dead one can be cancelled at once.
 class OpenCalls
 {
 public:
-    // Keeps the call listed while this object lives.
+    // Lists the call for the lifetime of this object.
     class Listing
     {
     public:
@@ -44,7 +45,7 @@
     std::map<std::string, std::set<HttpCall *>> m_calls;
 };
 
-// A plain service's upstreams.
+// An upstream of a plain service.
 struct ServiceUpstream
 {
     Member member;
@@ -60,17 +61,17 @@
     void record(EventKind kind, const CallerRequest &request, const ReplicaId &replica = {},
                 Attempt attempt = {}, std::string detail = {});
 
-    // How an upstream is called for this request. What may run only once gets a connection of its
-    // own: a kept one may prove dead after the send.
+    // Options of the upstream calls for this request. At-most-once requests get a new connection:
+    // an idle one may turn out to be dead only after the request was sent.
     HttpCallOptions callOptions(const CallerRequest &request,
                                 std::optional<MonotonicTime> sendBy) const;
 
-    // Ends a request that got no answer: tells the caller, counts, records.
+    // Ends a request that got no answer: sends the failure to the caller, counts and records it.
     void fail(HttpExchange &exchange, const CallerRequest &request, const Failure &failure,
               Yield yield);
 
-    // A refusal of a keyed request says "not run" only if the key's owner confirms that no earlier
-    // try was sent. Unkeyed ones pass unchanged.
+    // The refusal of a request with a key may say NotRun only if the key's owner confirms that no
+    // earlier try was sent; otherwise its outcome becomes Unknown. Without a key it is unchanged.
     Failure confirmedRefusal(const CallerRequest &request, Failure failure, Yield yield);
 
     IoContext &io;
@@ -94,12 +95,12 @@
     std::int64_t nextTicket = 1;
 };
 
-// Gives an earlier try's answer again.
+// Answers with the stored answer of an earlier try.
 void replay(HttpExchange &exchange, const CallerRequest &request, const KeptAnswer &kept,
             Yield yield);
 
-// One caller's key, claimed for one request. Settles itself when it goes out of scope: what was not
-// said to have run or to be unsure was not sent.
+// Claim of one request on its idempotency key. The destructor settles a granted claim: as not sent
+// unless markMayHaveRun() or recordAnswer() was called.
 class KeyClaim
 {
 public:
@@ -108,21 +109,22 @@
     KeyClaim(const KeyClaim &) = delete;
     KeyClaim &operator=(const KeyClaim &) = delete;
 
-    // Asks for the right to send. Nothing: it may be sent until sendBy(). Otherwise the answer for
-    // the caller: a kept answer of an earlier try, or a failure.
+    // Asks the key's owner for the right to send. No value: the request may be sent until sendBy().
+    // Otherwise what the caller gets: the stored answer of an earlier try, or a failure.
     std::optional<std::variant<KeptAnswer, Failure>> acquire(Yield yield);
 
-    // Makes sure of the right to send, or answers the caller; true if it may be sent.
+    // Acquires the right to send unless it is current. If that fails, answers the caller and
+    // returns false.
     bool acquireOrAnswer(HttpExchange &exchange, Yield yield);
 
-    // True if the request has no key or its right to send is current.
+    // Whether the request has no key or its right to send has not expired.
     bool maySend() const;
 
-    // Nothing for requests without a key.
+    // No value for requests without a key.
     std::optional<MonotonicTime> sendBy() const { return m_sendBy; }
 
-    void mayHaveRun() { m_outcome = ClaimOutcome::MayHaveRun; }
-    void ran(KeptAnswer answer);
+    void markMayHaveRun() { m_outcome = ClaimOutcome::MayHaveRun; }
+    void recordAnswer(KeptAnswer answer);
 
 private:
     ClaimAttempt attempt() const;
--- a/ramphinge/gateway/internal/completion_run.cpp
+++ b/ramphinge/gateway/internal/proxied_completion.cpp
@@ -1,6 +1,6 @@
-// One completion: see completion_run.h.
+// Proxying of one completion: see proxied_completion.h.
 
-#include "ramphinge/gateway/internal/completion_run.h"
+#include "ramphinge/gateway/internal/proxied_completion.h"
 
 #include <nlohmann/json.hpp>
 
@@ -10,15 +10,15 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration chooseAgainAfter = std::chrono::milliseconds(20);
-constexpr Duration chooseLimit = std::chrono::milliseconds(500);
-constexpr std::size_t maxKeptBody = 32 * 1024;
+constexpr Duration choiceRetryInterval = std::chrono::milliseconds(20);
+constexpr Duration choiceTimeout = std::chrono::milliseconds(500);
+constexpr std::size_t maxKeptBodyBytes = 32 * 1024;
 constexpr int wrongReplicaStatus = 409;
 
 } // namespace
 
-CompletionRun::CompletionRun(GatewayContext &context, HttpExchange &exchange,
-                             CompletionRequest request)
+ProxiedCompletion::ProxiedCompletion(GatewayContext &context, HttpExchange &exchange,
+                                     CompletionRequest request)
     : m_context(context), m_exchange(exchange), m_request(std::move(request)),
       m_pool(context.poolFor(m_request.model)), m_claim(context, m_request.common)
 {
@@ -31,19 +31,20 @@
                                 m_request.common.deadline);
 }
 
-void CompletionRun::run(Yield yield)
+void ProxiedCompletion::run(Yield yield)
 {
     m_exchange.watchCaller([this] {
         m_callerGone = true;
         m_pool.wake(m_ticket.number);
-        // What must not run twice is let finish, so that its answer is there for the next try.
+        // An at-most-once request runs to its end, so that a later try with its key gets the
+        // answer.
         if (m_call != nullptr && !m_request.common.atMostOnce())
             m_call->cancel();
     });
-    if (acquirePlace(yield)) {
+    if (acquireSlot(yield)) {
         m_context.retryBudget.onRequest();
         runAttempts(yield);
-        m_pool.began();
+        m_pool.dropReservation();
         m_pool.release(m_ticket.account, m_ticket.estimate,
                        m_mayHaveRun ? m_request.promptTokens + Tokens(m_answerTokens) : Tokens(0));
     }
@@ -52,28 +53,28 @@
     m_exchange.watchCaller({});
 }
 
-bool CompletionRun::acquirePlace(Yield yield)
+bool ProxiedCompletion::acquireSlot(Yield yield)
 {
     const MonotonicTime now = m_context.clock.now();
     if (m_context.replicas.candidates(m_request.model, now).empty()) {
-        giveUp(noReplica(m_request.model), yield);
+        failRequest(noReplica(m_request.model), yield);
         return false;
     }
     if (!m_context.options.fairness) {
-        m_pool.reserveAgain();
+        m_pool.reserveSlot();
         return true;
     }
     const std::optional<Refusal> refusal = m_pool.acquire(m_ticket, m_callerGone, yield);
     if (!refusal)
         return true;
     if (!m_callerGone)
-        giveUp(
+        failRequest(
             { 429, "overloaded", refusal->error.message(), Outcome::NotRun, refusal->retryAfter },
             yield);
     return false;
 }
 
-void CompletionRun::runAttempts(Yield yield)
+void ProxiedCompletion::runAttempts(Yield yield)
 {
     while (true) {
         if (!m_claim.acquireOrAnswer(m_exchange, yield))
@@ -84,38 +85,39 @@
         if (!replica) {
             Failure failure = noReplica(m_request.model);
             failure.outcome = outcomeSoFar();
-            return giveUp(failure, yield);
+            return failRequest(failure, yield);
         }
-        const AttemptEnd end = attempt(*replica, yield);
+        const AttemptResult end = attempt(*replica, yield);
         m_tried.push_back(replica->replica);
-        if (end == AttemptEnd::Whole || end == AttemptEnd::CallerGone || end == AttemptEnd::Refused)
+        if (end == AttemptResult::Completed || end == AttemptResult::CallerGone
+            || end == AttemptResult::UpstreamError)
             return;
         if (timeLeft() <= Duration::zero())
-            return giveUp(deadlinePassed(outcomeSoFar()), yield);
-        if (!mayTryAgain(end))
-            return giveUp(upstreamBroke(outcomeSoFar()), yield);
+            return failRequest(deadlineExceeded(outcomeSoFar()), yield);
+        if (!mayRetry(end))
+            return failRequest(upstreamFailed(outcomeSoFar()), yield);
         m_context.record(m_relay.position() > 0 ? EventKind::RequestResumed
                                                 : EventKind::RequestRetried,
                          m_request.common, replica->replica, Attempt(m_attempts));
     }
 }
 
-bool CompletionRun::mayTryAgain(AttemptEnd end)
+bool ProxiedCompletion::mayRetry(AttemptResult end)
 {
-    if (end == AttemptEnd::Broke && m_request.common.atMostOnce())
+    if (end == AttemptResult::Failed && m_request.common.atMostOnce())
         return false;
-    // A new try that certainly was not run costs an upstream nothing but a connection.
-    const bool free = end == AttemptEnd::NotRun;
+    // An attempt that certainly did not run cost an upstream only a connection.
+    const bool isFree = end == AttemptResult::NotRun;
     const bool allowed =
-        m_attempts < m_context.options.maxAttempts && (free || m_context.retryBudget.take());
+        m_attempts < m_context.options.maxAttempts && (isFree || m_context.retryBudget.take());
     m_context.metrics.count(MetricName(allowed ? "retries_total" : "retries_denied_total"));
     return allowed;
 }
 
-std::optional<ReplicaEntry> CompletionRun::chooseReplica(Yield yield)
+std::optional<ReplicaEntry> ProxiedCompletion::chooseReplica(Yield yield)
 {
     const MonotonicTime until =
-        std::min(m_context.clock.now() + chooseLimit, m_request.common.deadline);
+        std::min(m_context.clock.now() + choiceTimeout, m_request.common.deadline);
     while (true) {
         const MonotonicTime now = m_context.clock.now();
         const std::vector<Candidate> candidates =
@@ -123,15 +125,15 @@
         const auto chosen = m_context.policy->choose({ m_request.prefix, m_tried }, candidates);
         if (chosen)
             return m_context.replicas.find(candidates[*chosen].replica);
-        // All were tried: the first may be back.
+        // All replicas were tried; an earlier one may have recovered.
         m_tried.clear();
         if (now >= until || m_callerGone)
             return std::nullopt;
-        sleepFor(m_context.io, chooseAgainAfter, yield);
+        sleepFor(m_context.io, choiceRetryInterval, yield);
     }
 }
 
-HttpRequest CompletionRun::upstreamRequest(const ReplicaEntry &replica) const
+HttpRequest ProxiedCompletion::upstreamRequest(const ReplicaEntry &replica) const
 {
     HttpRequest request { "POST", "/v1/chat/completions", {}, m_request.upstreamBody };
     if (m_relay.position() > 0) {
@@ -150,12 +152,13 @@
     return request;
 }
 
-Duration CompletionRun::timeLeft() const
+Duration ProxiedCompletion::timeLeft() const
 {
     return m_request.common.deadline - m_context.clock.now();
 }
 
-CompletionRun::AttemptEnd CompletionRun::attempt(const ReplicaEntry &replica, Yield yield)
+ProxiedCompletion::AttemptResult ProxiedCompletion::attempt(const ReplicaEntry &replica,
+                                                            Yield yield)
 {
     ++m_attempts;
     m_sawFirstToken = false;
@@ -169,105 +172,105 @@
                      Attempt(m_attempts));
     m_call = call.get();
     m_context.replicas.began(replica.replica);
-    m_pool.began();
-    const AttemptEnd end = receive(*call, replica, yield);
-    m_pool.reserveAgain();
+    m_pool.dropReservation();
+    const AttemptResult end = receive(*call, replica, yield);
+    m_pool.reserveSlot();
     m_context.replicas.ended(replica.replica);
     m_call = nullptr;
-    if (end == AttemptEnd::Broke || end == AttemptEnd::NotRun)
+    if (end == AttemptResult::Failed || end == AttemptResult::NotRun)
         m_context.replicas.outliers().observeFailure(replica.replica, m_context.clock.now());
-    if (end == AttemptEnd::Broke) {
+    if (end == AttemptResult::Failed) {
         m_mayHaveRun = true;
-        m_claim.mayHaveRun();
+        m_claim.markMayHaveRun();
     }
     return end;
 }
 
-CompletionRun::AttemptEnd CompletionRun::brokeOrGone() const
+ProxiedCompletion::AttemptResult ProxiedCompletion::failedOrCallerGone() const
 {
-    return m_callerGone ? AttemptEnd::CallerGone : AttemptEnd::Broke;
+    return m_callerGone ? AttemptResult::CallerGone : AttemptResult::Failed;
 }
 
-CompletionRun::AttemptEnd CompletionRun::receive(HttpCall &call, const ReplicaEntry &replica,
-                                                 Yield yield)
+ProxiedCompletion::AttemptResult
+ProxiedCompletion::receive(HttpCall &call, const ReplicaEntry &replica, Yield yield)
 {
     if (const Status sent = call.start(yield); !sent.ok()) {
-        const bool neverSent = sent.error().kind() == ErrorKind::Unavailable;
-        if (!neverSent)
-            m_claim.mayHaveRun();
+        const bool notSent = sent.error().kind() == ErrorKind::Unavailable;
+        if (!notSent)
+            m_claim.markMayHaveRun();
         if (m_callerGone)
-            return AttemptEnd::CallerGone;
-        return neverSent ? AttemptEnd::NotRun : AttemptEnd::Broke;
+            return AttemptResult::CallerGone;
+        return notSent ? AttemptResult::NotRun : AttemptResult::Failed;
     }
     if (call.status() == wrongReplicaStatus) {
         call.cancel();
-        return AttemptEnd::NotRun;
+        return AttemptResult::NotRun;
     }
-    m_claim.mayHaveRun();
+    m_claim.markMayHaveRun();
     m_mayHaveRun = true;
-    if (!answerIsOurs(call, replica)) {
+    if (!matchesAttempt(call, replica)) {
         call.cancel();
-        return AttemptEnd::Broke;
+        return AttemptResult::Failed;
     }
     const bool streams = m_request.stream && call.status() == 200;
-    return streams ? receiveStream(call, replica, yield) : receiveWhole(call, replica, yield);
+    return streams ? receiveStream(call, replica, yield) : receiveBuffered(call, replica, yield);
 }
 
-// An answer to another request or attempt, or of a host that is another replica by now, is no
-// answer.
-bool CompletionRun::answerIsOurs(const HttpCall &call, const ReplicaEntry &replica)
+// False for an answer to another request or attempt, or from a host that belongs to another replica
+// by now.
+bool ProxiedCompletion::matchesAttempt(const HttpCall &call, const ReplicaEntry &replica)
 {
     const auto matches = [&call](const char *name, const std::string &expected) {
         const auto value = call.headers().find(name);
         return !value || *value == expected;
     };
-    const bool ours = matches("x-request-id", m_request.common.id.text())
+    const bool matchesAll = matches("x-request-id", m_request.common.id.text())
         && matches("x-attempt", std::to_string(m_attempts))
         && matches("x-replica", replica.replica.text())
         && matches("x-replica-epoch", std::to_string(replica.epoch.count()));
-    if (!ours) {
+    if (!matchesAll) {
         m_context.record(EventKind::LateAnswerDropped, m_request.common, replica.replica,
                          Attempt(m_attempts));
         m_context.metrics.count(MetricName("late_answers_total"));
     }
-    return ours;
+    return matchesAll;
 }
 
-CompletionRun::AttemptEnd CompletionRun::receiveWhole(HttpCall &call, const ReplicaEntry &replica,
-                                                      Yield yield)
+ProxiedCompletion::AttemptResult
+ProxiedCompletion::receiveBuffered(HttpCall &call, const ReplicaEntry &replica, Yield yield)
 {
     std::string body;
     while (true) {
         const Result<std::size_t> got = call.read(body, yield);
         if (!got.ok() || body.size() > m_context.options.maxAnswerBytes)
-            return brokeOrGone();
+            return failedOrCallerGone();
         if (got.value() == 0)
             break;
     }
     if (call.status() >= 500)
-        return AttemptEnd::Broke;
+        return AttemptResult::Failed;
     const Json json = Json::parse(body, nullptr, false);
     std::int64_t tokens = 0;
     if (json.is_object() && json.contains("usage") && json["usage"].is_object())
         tokens = json["usage"].value("completion_tokens", std::int64_t { 0 });
-    noteFirstToken(replica);
+    recordFirstToken(replica);
     const HttpResponse response { call.status(),
                                   { { "content-type", "application/json" },
                                     { "x-request-id", m_request.common.id.text() } },
                                   std::move(body) };
-    m_claim.ran({ response.status, "application/json", response.body });
+    m_claim.recordAnswer({ response.status, "application/json", response.body });
     if (!m_exchange.respond(response, yield).ok()) {
         m_callerGone = true;
-        return AttemptEnd::CallerGone;
+        return AttemptResult::CallerGone;
     }
     finish(replica, tokens);
-    return call.status() == 200 ? AttemptEnd::Whole : AttemptEnd::Refused;
+    return call.status() == 200 ? AttemptResult::Completed : AttemptResult::UpstreamError;
 }
 
-CompletionRun::AttemptEnd CompletionRun::receiveStream(HttpCall &call, const ReplicaEntry &replica,
-                                                       Yield yield)
+ProxiedCompletion::AttemptResult
+ProxiedCompletion::receiveStream(HttpCall &call, const ReplicaEntry &replica, Yield yield)
 {
-    const bool keeps = !m_request.common.key.empty();
+    const bool keepsAnswer = !m_request.common.key.empty();
     std::string piece;
     std::string out;
     while (!m_relay.done()) {
@@ -275,43 +278,43 @@
         out.clear();
         const Result<std::size_t> got = call.read(piece, yield);
         if (!got.ok() || got.value() == 0)
-            return brokeOrGone(); // An end without [DONE] is a broken answer.
-        const bool sound = m_relay.feed(piece, out);
+            return failedOrCallerGone(); // The stream ended without [DONE].
+        const bool isValid = m_relay.feed(piece, out);
         m_answerTokens = m_relay.position();
         if (!out.empty()) {
-            noteFirstToken(replica);
+            recordFirstToken(replica);
             if (!m_streamBegun)
                 m_exchange.beginStream(200,
                                        { { "content-type", "text/event-stream" },
                                          { "cache-control", "no-store" },
                                          { "x-request-id", m_request.common.id.text() } });
             m_streamBegun = true;
-            if (keeps && m_keptBody.size() <= maxKeptBody)
+            if (keepsAnswer && m_keptBody.size() <= maxKeptBodyBytes)
                 m_keptBody += out;
             m_callerGone = m_callerGone || !m_exchange.write(out, yield).ok();
-            if (m_callerGone && !keeps) {
+            if (m_callerGone && !keepsAnswer) {
                 call.cancel();
-                return AttemptEnd::CallerGone;
+                return AttemptResult::CallerGone;
             }
         }
-        if (!sound) {
+        if (!isValid) {
             call.cancel();
-            return AttemptEnd::Broke;
+            return AttemptResult::Failed;
         }
     }
-    // Reads the end of the message, so that the connection can be used again.
+    // Reads to the end of the message so that the connection can be reused.
     call.read(piece, yield);
-    if (keeps)
-        m_claim.ran({ 200, "text/event-stream", std::move(m_keptBody) });
+    if (keepsAnswer)
+        m_claim.recordAnswer({ 200, "text/event-stream", std::move(m_keptBody) });
     if (m_callerGone || !m_exchange.finish(yield).ok()) {
         m_callerGone = true;
-        return AttemptEnd::CallerGone;
+        return AttemptResult::CallerGone;
     }
     finish(replica, m_relay.position());
-    return AttemptEnd::Whole;
+    return AttemptResult::Completed;
 }
 
-void CompletionRun::noteFirstToken(const ReplicaEntry &replica)
+void ProxiedCompletion::recordFirstToken(const ReplicaEntry &replica)
 {
     if (m_sawFirstToken)
         return;
@@ -326,13 +329,13 @@
             now - m_request.common.arrived, now);
 }
 
-void CompletionRun::finish(const ReplicaEntry &replica, std::int64_t answerTokens)
+void ProxiedCompletion::finish(const ReplicaEntry &replica, std::int64_t answerTokens)
 {
     const MonotonicTime now = m_context.clock.now();
     const std::string &account = m_request.common.account.text();
     m_answerTokens = answerTokens;
     m_context.costs.observe(m_request.common.account, Tokens(answerTokens));
-    // Long and short answers compare by the time that a token took.
+    // Time per token, so that long and short answers are comparable.
     m_context.replicas.outliers().observe(
         replica.replica, (now - m_sentAt) / std::max<std::int64_t>(1, answerTokens), now);
     m_context.metrics.observe(MetricName("request_ms").with("account", account),
@@ -344,7 +347,7 @@
                      Attempt(m_attempts));
 }
 
-void CompletionRun::giveUp(Failure failure, Yield yield)
+void ProxiedCompletion::failRequest(Failure failure, Yield yield)
 {
     if (m_callerGone)
         return;
--- a/ramphinge/gateway/internal/service_run.cpp
+++ b/ramphinge/gateway/internal/proxied_service_call.cpp
@@ -1,6 +1,6 @@
-// One call of a plain service: see service_run.h.
+// Proxying of one request to a plain service: see proxied_service_call.h.
 
-#include "ramphinge/gateway/internal/service_run.h"
+#include "ramphinge/gateway/internal/proxied_service_call.h"
 
 #include <algorithm>
 #include <array>
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Of one hop only, or set anew for the upstream.
-constexpr std::array<std::string_view, 9> hopHeaders {
+// Hop-by-hop headers, and those that the gateway replaces or consumes.
+constexpr std::array<std::string_view, 9> unforwardedHeaders {
     "connection", "keep-alive", "transfer-encoding", "te",           "upgrade",
     "host",       "trailer",    "content-length",    "authorization"
 };
@@ -22,66 +22,67 @@
            });
 }
 
-bool passesOn(const HttpHeader &field)
+bool isForwarded(const HttpHeader &field)
 {
-    return std::none_of(hopHeaders.begin(), hopHeaders.end(), [&field](std::string_view name) {
-        return equalsIgnoringCase(name, field.name);
-    });
+    return std::none_of(
+        unforwardedHeaders.begin(), unforwardedHeaders.end(),
+        [&field](std::string_view name) { return equalsIgnoringCase(name, field.name); });
 }
 
 } // namespace
 
-ServiceRun::ServiceRun(GatewayContext &context, HttpExchange &exchange, CallerRequest request,
-                       const ServiceSpec &service)
+ProxiedServiceCall::ProxiedServiceCall(GatewayContext &context, HttpExchange &exchange,
+                                       CallerRequest request, const ServiceSpec &service)
     : m_context(context), m_exchange(exchange), m_request(std::move(request)),
       m_service(service.service), m_claim(context, m_request)
 { }
 
-void ServiceRun::run(Yield yield)
+void ProxiedServiceCall::run(Yield yield)
 {
     m_exchange.watchCaller([this] {
         m_callerGone = true;
-        // What must not run twice is let finish, so that its answer is there for the next try.
+        // An at-most-once request runs to its end, so that a later try with its key gets the
+        // answer.
         if (m_call != nullptr && !m_request.atMostOnce())
             m_call->cancel();
     });
     m_context.retryBudget.onRequest();
     while (!m_callerGone) {
-        if (choose() == nullptr) {
-            refuse(yield);
+        if (chooseUpstream() == nullptr) {
+            failWithoutUpstream(yield);
             break;
         }
         if (!m_claim.acquireOrAnswer(m_exchange, yield))
             break;
-        // Chosen only now: the list is replaced when members change, also during the claim.
-        ServiceUpstream *upstream = choose();
+        // Chosen again after the claim: a membership change during it replaces the upstreams.
+        ServiceUpstream *upstream = chooseUpstream();
         if (upstream != nullptr && attempt(*upstream, yield))
             break;
     }
     m_exchange.watchCaller({});
 }
 
-ServiceUpstream *ServiceRun::choose()
+ServiceUpstream *ProxiedServiceCall::chooseUpstream()
 {
     ServiceUpstream *best = nullptr;
     const auto rank = [this](const ServiceUpstream &upstream) {
         return std::make_pair(upstream.member.zone != m_context.options.zone, upstream.inFlight);
     };
     for (auto &[host, upstream] : m_context.services) {
-        const bool fit = upstream.member.service == m_service && m_tried.count(host) == 0
+        const bool isEligible = upstream.member.service == m_service && m_tried.count(host) == 0
             && m_context.unusable.count(host) == 0;
-        if (fit && (best == nullptr || rank(upstream) < rank(*best)))
+        if (isEligible && (best == nullptr || rank(upstream) < rank(*best)))
             best = &upstream;
     }
     return best;
 }
 
-HttpRequest ServiceRun::upstreamRequest() const
+HttpRequest ProxiedServiceCall::upstreamRequest() const
 {
     const HttpRequest &original = m_exchange.request();
     HttpRequest request { original.method, original.target, {}, original.body };
     for (const HttpHeader &field : original.headers.fields()) {
-        if (passesOn(field) && !equalsIgnoringCase(field.name, "x-request-id")
+        if (isForwarded(field) && !equalsIgnoringCase(field.name, "x-request-id")
             && !equalsIgnoringCase(field.name, "x-attempt"))
             request.headers.add(field.name, field.value);
     }
@@ -91,25 +92,25 @@
     return request;
 }
 
-void ServiceRun::refuse(Yield yield)
+void ProxiedServiceCall::failWithoutUpstream(Yield yield)
 {
     Failure failure { 503, "no_upstream",
                       "no upstream of " + m_service.text()
-                          + " can serve now; come back after the time given",
+                          + " is available; retry after the delay given",
                       outcomeSoFar(), std::chrono::seconds(1) };
     if (m_attempts == 0)
         failure = m_context.confirmedRefusal(m_request, std::move(failure), yield);
     m_context.fail(m_exchange, m_request, failure, yield);
 }
 
-Result<HttpResponse> ServiceRun::exchange(HttpCall &call, Yield yield) const
+Result<HttpResponse> ProxiedServiceCall::exchange(HttpCall &call, Yield yield) const
 {
     if (const Status sent = call.start(yield); !sent.ok())
         return sent.error();
     HttpResponse response;
     response.status = call.status();
     for (const HttpHeader &field : call.headers().fields()) {
-        if (passesOn(field))
+        if (isForwarded(field))
             response.headers.add(field.name, field.value);
     }
     while (response.body.size() <= m_context.options.maxAnswerBytes) {
@@ -120,11 +121,11 @@
             return response;
     }
     call.cancel();
-    return Error(ErrorKind::Unknown, "the answer is larger than this side accepts");
+    return Error(ErrorKind::Unknown, "the upstream's answer exceeds the size limit");
 }
 
-// `upstream` may be gone after the first wait.
-bool ServiceRun::attempt(ServiceUpstream &upstream, Yield yield)
+// `upstream` may be destroyed by a membership change during the first wait.
+bool ProxiedServiceCall::attempt(ServiceUpstream &upstream, Yield yield)
 {
     ++m_attempts;
     const HostId host = upstream.member.host;
@@ -142,19 +143,19 @@
     if (listed != m_context.services.end())
         --listed->second.inFlight;
     m_tried.insert(host);
-    const bool neverSent = !response.ok() && response.error().kind() == ErrorKind::Unavailable;
-    if (!neverSent) {
+    const bool notSent = !response.ok() && response.error().kind() == ErrorKind::Unavailable;
+    if (!notSent) {
         m_mayHaveRun = true;
-        m_claim.mayHaveRun();
+        m_claim.markMayHaveRun();
     }
-    return response.ok() ? answer(host, response.value(), yield)
-                         : giveUpOrRetry(host, neverSent, yield);
+    return response.ok() ? forwardAnswer(host, response.value(), yield)
+                         : failOrRetry(host, notSent, yield);
 }
 
-bool ServiceRun::answer(const HostId &host, HttpResponse response, Yield yield)
+bool ProxiedServiceCall::forwardAnswer(const HostId &host, HttpResponse response, Yield yield)
 {
     const auto type = response.headers.find("content-type");
-    m_claim.ran(
+    m_claim.recordAnswer(
         { response.status, std::string(type.value_or("application/octet-stream")), response.body });
     if (response.headers.count("x-request-id") == 0)
         response.headers.add("x-request-id", m_request.id.text());
@@ -170,7 +171,7 @@
     return true;
 }
 
-bool ServiceRun::giveUpOrRetry(const HostId &host, bool neverSent, Yield yield)
+bool ProxiedServiceCall::failOrRetry(const HostId &host, bool notSent, Yield yield)
 {
     if (m_callerGone) {
         m_context.record(EventKind::CallerGone, m_request);
@@ -178,14 +179,15 @@
     }
     const bool tooLate = timeLeft() <= Duration::zero();
     const bool again = !tooLate && m_attempts < m_context.options.maxAttempts
-        && (neverSent || (!m_request.atMostOnce() && m_context.retryBudget.take()));
+        && (notSent || (!m_request.atMostOnce() && m_context.retryBudget.take()));
     if (again) {
         m_context.record(EventKind::RequestRetried, m_request, ReplicaId(host.text()),
                          Attempt(m_attempts));
         return false;
     }
     m_context.fail(m_exchange, m_request,
-                   tooLate ? deadlinePassed(outcomeSoFar()) : upstreamBroke(outcomeSoFar()), yield);
+                   tooLate ? deadlineExceeded(outcomeSoFar()) : upstreamFailed(outcomeSoFar()),
+                   yield);
     return true;
 }
 
--- a/ramphinge/gateway/internal/service_run.h
+++ b/ramphinge/gateway/internal/proxied_service_call.h
@@ -1,4 +1,5 @@
-// One call of a plain service. Internal to the gateway library.
+// One request to a plain service, with retries on its other upstreams. Internal to the gateway
+// library.
 
 #pragma once
 
@@ -6,25 +7,27 @@
 
 namespace ramphinge::internal {
 
-class ServiceRun
+class ProxiedServiceCall
 {
 public:
-    ServiceRun(GatewayContext &context, HttpExchange &exchange, CallerRequest request,
-               const ServiceSpec &service);
+    ProxiedServiceCall(GatewayContext &context, HttpExchange &exchange, CallerRequest request,
+                       const ServiceSpec &service);
 
     void run(Yield yield);
 
 private:
-    // The least busy upstream, of the own zone if there is one; null if there is none.
-    ServiceUpstream *choose();
+    // The untried upstream with the fewest requests in flight, of the own zone if possible; null if
+    // there is none.
+    ServiceUpstream *chooseUpstream();
 
-    // True if the caller has been answered.
+    // attempt(), forwardAnswer() and failOrRetry() return true if the request is finished and false
+    // if it is to be retried.
     bool attempt(ServiceUpstream &upstream, Yield yield);
-    void refuse(Yield yield);
+    void failWithoutUpstream(Yield yield);
     HttpRequest upstreamRequest() const;
     Result<HttpResponse> exchange(HttpCall &call, Yield yield) const;
-    bool answer(const HostId &host, HttpResponse response, Yield yield);
-    bool giveUpOrRetry(const HostId &host, bool neverSent, Yield yield);
+    bool forwardAnswer(const HostId &host, HttpResponse response, Yield yield);
+    bool failOrRetry(const HostId &host, bool notSent, Yield yield);
     Outcome outcomeSoFar() const { return m_mayHaveRun ? Outcome::Unknown : Outcome::NotRun; }
     Duration timeLeft() const { return m_request.deadline - m_context.clock.now(); }
 
--- a/ramphinge/gateway/model_pool.cpp
+++ b/ramphinge/gateway/model_pool.cpp
@@ -1,4 +1,4 @@
-// Places for a model's requests: see model_pool.h.
+// Queue and slots of one model: see model_pool.h.
 
 #include "ramphinge/gateway/model_pool.h"
 
@@ -10,7 +10,7 @@
         return refused;
     Waiter waiter(m_io);
     m_waiters[ticket.number] = &waiter;
-    pump();
+    startWaiting();
     while (!waiter.started && !callerGone && m_clock.now() < ticket.startBy)
         waiter.signal.wait(ticket.startBy - m_clock.now(), yield);
     if (waiter.started)
@@ -18,26 +18,26 @@
     m_waiters.erase(ticket.number);
     m_queue.remove(ticket.number);
     return Refusal { Error(ErrorKind::Overloaded,
-                           "no place became free in time; come back after the time given"),
+                           "no slot became free in time; retry after the delay given"),
                      std::chrono::seconds(1) };
 }
 
 void ModelPool::release(const AccountId &account, Tokens estimate, Tokens actual)
 {
     m_queue.settle(account, estimate, actual, m_clock.now());
-    pump();
+    startWaiting();
 }
 
-void ModelPool::pump()
+void ModelPool::startWaiting()
 {
     if (!m_queue.hasWaiting())
         return;
     const MonotonicTime now = m_clock.now();
     const SlotCount slots = m_replicas.slotCount(m_model, now);
-    const int kept = keptPlaces(slots.all, now);
+    const int headroom = headroomSlots(slots.all, now);
     for (int free = slots.free - m_reserved; free > 0; --free) {
-        const std::optional<Ticket> ticket =
-            m_queue.pop(now, free > kept ? FairQueue::Admit::All : FairQueue::Admit::NotBacklogged);
+        const std::optional<Ticket> ticket = m_queue.pop(
+            now, free > headroom ? FairQueue::Admit::All : FairQueue::Admit::NotBacklogged);
         if (!ticket)
             return;
         const auto waiter = m_waiters.find(ticket->number);
@@ -48,14 +48,15 @@
     }
 }
 
-// Work is not taken back once begun, so an account within its share would wait for somebody's end
-// whenever another has filled all places. A few are kept for those without a backlog.
-int ModelPool::keptPlaces(int all, MonotonicTime now) const
+// Running requests are not preempted, so an account within its share would have to wait for a
+// request to end whenever another account has filled all slots. Some slots are therefore reserved
+// for accounts without a backlog.
+int ModelPool::headroomSlots(int all, MonotonicTime now) const
 {
-    constexpr double keptShare = 0.125;
+    constexpr double headroomShare = 0.125;
     if (m_queue.recentAccounts(now) < 2)
         return 0;
-    return static_cast<int>(keptShare * all);
+    return static_cast<int>(headroomShare * all);
 }
 
 void ModelPool::wake(TicketNumber ticket)
--- a/ramphinge/gateway/model_pool.h
+++ b/ramphinge/gateway/model_pool.h
@@ -1,5 +1,5 @@
-// Waiting and places for one model's requests: a request gets a place when a replica has room and
-// the fair queue says it is its account's turn.
+// Queue and slots of one model: a request gets a slot when one of the model's replicas has a free
+// one and the fair queue selects the request.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace ramphinge {
 
-// Lives on the request loop.
+// Used on the request loop only.
 class ModelPool
 {
 public:
@@ -23,23 +23,26 @@
           m_queue(options)
     { }
 
-    // Waits for a place. A refusal is given as soon as it is certain. `callerGone` may become true
-    // meanwhile, with wake() called: then the result is a refusal that nobody reads.
+    // Waits for a slot and reserves it. Refuses as soon as the request certainly can't start in
+    // time. If the caller disconnects, set `callerGone` and call wake(): the result is then a
+    // refusal.
     std::optional<Refusal> acquire(const Ticket &ticket, const bool &callerGone, Yield yield);
 
-    // Gives the place back and corrects the account's charge.
+    // Corrects the account's charge and starts waiting requests; call it when the slot is free
+    // again.
     void release(const AccountId &account, Tokens estimate, Tokens actual);
 
-    // The place is now held by a request counted at its replica, and no longer reserved here.
-    void began() { --m_reserved; }
+    // Ends the reservation: the request is now counted at its replica, or has ended.
+    void dropReservation() { --m_reserved; }
 
-    // The request was not sent to any replica after all, or is between two of them.
-    void reserveAgain() { ++m_reserved; }
+    // Reserves a slot for a request that is not counted at a replica: before it is sent, or between
+    // two attempts.
+    void reserveSlot() { ++m_reserved; }
 
-    // Starts whoever can be started: call when places may have become free.
-    void pump();
+    // Starts as many waiting requests as possible; call it when slots may have become free.
+    void startWaiting();
 
-    // Wakes the ticket's waiter, whose caller has gone.
+    // Wakes the request that waits with the ticket, after its caller disconnected.
     void wake(TicketNumber ticket);
 
     FairQueue &queue() { return m_queue; }
@@ -53,7 +56,7 @@
         bool started = false;
     };
 
-    int keptPlaces(int all, MonotonicTime now) const;
+    int headroomSlots(int all, MonotonicTime now) const;
 
     IoContext &m_io;
     const Clock &m_clock;
@@ -61,7 +64,7 @@
     ReplicaTable &m_replicas;
     FairQueue m_queue;
     std::map<TicketNumber, Waiter *> m_waiters; // Invariant: exactly the tickets in m_queue.
-    int m_reserved = 0; // Places given out whose requests no replica counts yet.
+    int m_reserved = 0; // Slots given to requests that no replica counts yet.
 };
 
 } // namespace ramphinge
