--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -32,23 +32,26 @@
 
 namespace {
 
-// A removed key must stop working within the bound at the upstream too: the rest of the bound is
-// for the way there.
+// Part of the key revocation bound that is reserved for a request's way to the upstream: a removed
+// key must stop working there within the bound, too.
 constexpr Duration revocationMargin = std::chrono::milliseconds(500);
-constexpr Duration drainPoll = std::chrono::milliseconds(20);
-constexpr Duration housekeeping = std::chrono::seconds(1);
+constexpr Duration drainPollInterval = std::chrono::milliseconds(20);
+constexpr Duration housekeepingInterval = std::chrono::seconds(1);
 constexpr Duration callsLogInterval = std::chrono::seconds(10);
-// The planner's lease: while it lapses nobody plans. Two failed renewals are survived.
-constexpr Duration roleLease = std::chrono::seconds(2);
-// A machine with less of a processor plans only if no other daemon wants to: the planner reads all
-// news and computes at each change, beside its own requests. And where hundreds of daemons start at
-// once, each that tries for the role in vain costs three calls of the store: 68 daemons made 140
-// such tries in 75 s (six of them have half a processor, the others an eighth).
-constexpr double plannersProcessor = 0.25;
-// By then one that is stronger has the role, and the others know of it.
-constexpr Duration strongerFirst = std::chrono::milliseconds(1800);
-constexpr Duration registrationLease = std::chrono::seconds(9);
-// Descriptors that are not for callers: upstreams, the store, files.
+// Lifetime of the planner's lease, renewed at a third of it, so that it survives two failed
+// renewals. After a planner's crash nobody plans until it expires.
+constexpr Duration plannerLeaseLifetime = std::chrono::seconds(2);
+// A daemon with a smaller share of a processor becomes the planner only if no other daemon wants
+// the role: the planner reads all store changes and replans at each one, beside serving its own
+// requests. Each failed attempt to acquire the role also costs three store calls: when 68 daemons
+// (six with half a processor, the others with an eighth) started at once, they made 140 such
+// attempts in 75 s.
+constexpr double minPlannerProcessorShare = 0.25;
+// Delay before a daemon below that share tries to acquire the role: by then a daemon above it holds
+// the role and the others know.
+constexpr Duration smallDaemonAcquireDelay = std::chrono::milliseconds(1800);
+constexpr Duration registrationLeaseLifetime = std::chrono::seconds(9);
+// The other descriptors are for connections to upstreams and the store, and for files.
 constexpr double callerShareOfDescriptors = 0.6;
 constexpr int connectionsPerUpstream = 24;
 
@@ -86,10 +89,10 @@
     {
         m_dispatch.startedAt = m_clock.now();
         m_relays.shareLoads([this] { return ownLoad(); },
-                            [this](const SharedLoad &others) { takeOthersLoad(others); });
+                            [this](const SharedLoad &others) { applyOthersLoad(others); });
         m_relays.shareServerNews([this] { return m_dispatch.gate.takeNews(m_clock.now()); },
-                                 [this](const ServerNews &news) { hear(news); });
-        // Not at once: it is called from where requests choose their servers.
+                                 [this](const ServerNews &update) { applyServerUpdate(update); });
+        // Posted, since the callback runs while a request chooses its server.
         m_upstreams.onLeaving([this] { boost::asio::post(m_io, [this] { onFleetChange(); }); });
         m_sync.useRelays(m_relays, m_relays, [this] { return m_relays.isRelay(); });
     }
@@ -112,7 +115,7 @@
         m_loops.keep("formation", [this](Yield yield) { m_formation.run(yield); });
         m_loops.keep("suspicions", [this](Yield yield) { m_suspicions.run(yield); });
         m_loops.keep("quarantine", [this](Yield yield) { m_quarantine.run(yield); });
-        m_loops.keep("housekeeping", [this](Yield yield) { keepHouse(yield); });
+        m_loops.keep("housekeeping", [this](Yield yield) { runHousekeeping(yield); });
         logInfo("daemon", "started", { { "zone", m_settings.zone.text() } });
         runLoop(m_io);
         logInfo("daemon", "stopped");
@@ -127,8 +130,8 @@
         return options;
     }
 
-    // A call that began while the store was away fails before the daemon's picture has to be in
-    // time again, and leaves time for the next one.
+    // A call that began while the store was unreachable times out halfway through the connectivity
+    // grace, which leaves time for another call before the daemon's view has to be up to date.
     static platform::KvClientOptions storeOptions(const FleetSettings &settings)
     {
         platform::KvClientOptions options;
@@ -148,7 +151,7 @@
         return storeSyncOptions(bounds);
     }
 
-    static RelayCandidate recordOf(const FleetSettings &settings)
+    static RelayCandidate registrationOf(const FleetSettings &settings)
     {
         return { settings.daemon, settings.zone, settings.links.value_or(Endpoint()),
                  settings.processorShare };
@@ -157,7 +160,7 @@
     static RelayNodeOptions relayOptions(const FleetSettings &settings)
     {
         RelayNodeOptions options;
-        options.self = recordOf(settings);
+        options.self = registrationOf(settings);
         options.choice.fewestDaemons = settings.relaysFrom;
         return options;
     }
@@ -166,9 +169,9 @@
     {
         KeyHolderOptions options;
         options.key = FleetKeys::daemon(settings.daemon);
-        options.value = serializeCandidate(recordOf(settings));
-        options.lifetime = registrationLease;
-        options.renewal = registrationLease / 3;
+        options.value = serializeCandidate(registrationOf(settings));
+        options.lifetime = registrationLeaseLifetime;
+        options.renewal = registrationLeaseLifetime / 3;
         options.replaceExisting = true;
         return options;
     }
@@ -178,10 +181,10 @@
         KeyHolderOptions options;
         options.key = FleetKeys::planner();
         options.value = settings.daemon.text();
-        options.lifetime = roleLease;
-        options.renewal = roleLease / 3;
-        if (settings.processorShare < plannersProcessor)
-            options.precedence = strongerFirst;
+        options.lifetime = plannerLeaseLifetime;
+        options.renewal = plannerLeaseLifetime / 3;
+        if (settings.processorShare < minPlannerProcessorShare)
+            options.precedence = smallDaemonAcquireDelay;
         return options;
     }
 
@@ -199,7 +202,7 @@
         return options;
     }
 
-    // For callers, before any catalog is known.
+    // Options of the callers' port until a catalog is known.
     HttpServerOptions callerOptions() const
     {
         HttpServerOptions options;
@@ -213,11 +216,11 @@
         auto callers = HttpServer::listen(m_io, m_settings.callers, callerOptions(), m_dispatcher);
         if (!callers.ok())
             return callers.error();
-        m_callers = callers.value();
+        m_callerServer = callers.value();
         auto readiness = HttpServer::listen(m_io, m_settings.readiness, {}, m_status);
         if (!readiness.ok())
             return readiness.error();
-        m_readiness = readiness.value();
+        m_readinessServer = readiness.value();
         if (!m_settings.metrics)
             return Done {};
         auto metrics = HttpServer::listen(m_io, *m_settings.metrics, {}, m_status);
@@ -227,7 +230,7 @@
         return Done {};
     }
 
-    // Whether the balancer should send callers here.
+    // Whether the load balancer should send callers to this daemon.
     bool isReady() const
     {
         return !m_dispatch.draining && m_dispatch.catalog != nullptr
@@ -239,18 +242,18 @@
         return { m_dispatch.targets.ownLoad(), m_dispatch.demand.own(m_clock.now()) };
     }
 
-    void takeOthersLoad(const SharedLoad &others)
+    void applyOthersLoad(const SharedLoad &others)
     {
         const MonotonicTime now = m_clock.now();
         m_dispatch.targets.setOthersLoad(others.places, now);
         m_dispatch.demand.setOthers(others.work, now);
     }
 
-    void hear(const ServerNews &news)
+    void applyServerUpdate(const ServerNews &update)
     {
-        hearLimits(news.limits);
+        applyServerLimitUpdates(update.limits);
         bool changed = false;
-        for (const HostId &host : news.leaving) {
+        for (const HostId &host : update.leaving) {
             if (!m_dispatch.gate.hearLeaving(host))
                 continue;
             changed = true;
@@ -261,9 +264,9 @@
             onFleetChange();
     }
 
-    void hearLimits(const std::vector<ServerLimitNews> &news)
+    void applyServerLimitUpdates(const std::vector<ServerLimitNews> &updates)
     {
-        for (const ServerLimitNews &limit : news) {
+        for (const ServerLimitNews &limit : updates) {
             const bool isInFleet = m_fleet.servers.find(limit.server.host) != nullptr;
             const LimitChange change =
                 m_dispatch.gate.limits().hear(limit, m_clock.now(), isInFleet);
@@ -279,7 +282,7 @@
         }
     }
 
-    // What servers said of their leaving goes before their entries, which may be older.
+    // A server's own announcement that it leaves overrides its store entry, which may be older.
     void markLeaving()
     {
         for (const HostId &host : m_dispatch.gate.departures().servers()) {
@@ -300,7 +303,7 @@
         m_quarantine.takeOver();
         const std::vector<RelayCandidate> daemons = m_fleet.daemons();
         m_relays.setDaemons(daemons);
-        shareLimits(daemons);
+        updateLimitSharers(daemons);
         if (!m_dispatch.catalog)
             return;
         m_dispatch.targets.rebuild(m_fleet.servers, m_fleet.plan, *m_dispatch.catalog);
@@ -308,10 +311,10 @@
         m_dispatch.noteDaemons(static_cast<int>(daemons.size()));
         for (const Endpoint &endpoint : m_dispatch.targets.takeDropped())
             m_client->forget(endpoint);
-        applyLimits(m_dispatch.catalog->limits());
+        applyCallerLimits(m_dispatch.catalog->limits());
     }
 
-    void shareLimits(const std::vector<RelayCandidate> &daemons)
+    void updateLimitSharers(const std::vector<RelayCandidate> &daemons)
     {
         std::vector<LimitSharer> sharers;
         for (const RelayCandidate &daemon : daemons)
@@ -319,7 +322,7 @@
         m_dispatch.gate.setDaemons({ m_settings.daemon, m_settings.zone }, sharers, m_clock.now());
     }
 
-    void applyLimits(const CallerLimits &limits)
+    void applyCallerLimits(const CallerLimits &limits)
     {
         HttpServerOptions options = callerOptions();
         options.maxBodyBytes = limits.bodyBytes;
@@ -327,15 +330,15 @@
             std::min<std::size_t>(limits.headerBytes, std::numeric_limits<std::uint32_t>::max()));
         options.headTimeout = limits.headerTimeout;
         options.idleTimeout = limits.idleTimeout;
-        m_callers->setOptions(options);
+        m_callerServer->setOptions(options);
     }
 
-    void keepHouse(Yield yield)
+    void runHousekeeping(Yield yield)
     {
         while (!m_dispatch.draining) {
-            sleepFor(m_io, housekeeping, yield);
+            sleepFor(m_io, housekeepingInterval, yield);
             m_log.reportLeftOut();
-            measure();
+            updateSampledMetrics();
             m_dispatch.gate.forgetOld(
                 [this](const HostId &host) { return m_fleet.servers.find(host) != nullptr; },
                 m_clock.now());
@@ -343,13 +346,13 @@
                 measureServers(m_dispatch.gate, m_fleet.servers, *m_dispatch.catalog, m_metrics,
                                m_clock.now());
             logStoreCalls();
-            if (fileChanged())
+            if (settingsFileChanged())
                 reload("file");
         }
     }
 
-    // What this daemon asks of the store, so far and by kind: calls are paid for, and limited over
-    // all daemons together.
+    // Logs the number of store calls so far, by kind: calls are billed, and their rate is limited
+    // across all daemons.
     void logStoreCalls()
     {
         if (m_clock.now() - m_callsLoggedAt < callsLogInterval)
@@ -361,8 +364,8 @@
                   { "is_planner", m_role.holds(m_clock.now()) } });
     }
 
-    // What is read off rather than counted.
-    void measure()
+    // Sets the metrics that are sampled rather than counted.
+    void updateSampledMetrics()
     {
         const MonotonicTime now = m_clock.now();
         const auto set = [this](const char *name, double value) {
@@ -384,21 +387,21 @@
         set("requests_suspected", static_cast<double>(m_dispatch.quarantine.suspects()));
         set("requests_quarantined", static_cast<double>(m_dispatch.quarantine.held().size()));
         set("loop_failures_total", static_cast<double>(m_loops.failures()));
-        set("open_requests", m_callers->openExchanges());
+        set("open_requests", m_callerServer->openExchanges());
         set("connections_made", static_cast<double>(m_client->connectionsMade()));
         set("answers_skipped_total", static_cast<double>(m_client->answersSkipped()));
         set("log_lines_dropped", static_cast<double>(droppedLogLines()));
     }
 
-    // The settings file may change without a signal. True for the first look: a change between the
-    // reading at the start and that look would be taken for the file as it was read.
-    bool fileChanged()
+    // Whether the settings file has changed, which may happen without a signal. The first call
+    // returns true, since the file may have changed after it was read at startup.
+    bool settingsFileChanged()
     {
         std::error_code ec;
-        const auto written = std::filesystem::last_write_time(m_settingsPath, ec);
-        if (ec || written == m_settingsWritten)
+        const auto modifiedAt = std::filesystem::last_write_time(m_settingsPath, ec);
+        if (ec || modifiedAt == m_settingsModifiedAt)
             return false;
-        m_settingsWritten = written;
+        m_settingsModifiedAt = modifiedAt;
         return true;
     }
 
@@ -407,12 +410,12 @@
         m_reloadSignal.async_wait([this](const auto &ec, int) {
             if (ec)
                 return;
-            awaitReload(); // First: what the reload may throw must not end the waiting.
+            awaitReload(); // Before the reload, which may throw.
             reload("signal");
         });
     }
 
-    // Takes over what can change while the daemon runs, and says so of the rest.
+    // Applies the settings that can change while the daemon runs: the retry budget's.
     void reload(const char *why)
     {
         const Result<std::string> text = readFile(m_settingsPath);
@@ -432,8 +435,8 @@
     {
         const DrainSchedule schedule(m_clock.now(), m_settings.stopGrace);
         m_dispatch.draining = true;
-        m_callers->announceClose();
-        logInfo("daemon", "stopping", { { "open_requests", m_callers->openExchanges() } });
+        m_callerServer->announceClose();
+        logInfo("daemon", "stopping", { { "open_requests", m_callerServer->openExchanges() } });
         m_role.stop();
         m_linkKey.stop();
         m_formation.stop();
@@ -444,12 +447,12 @@
             m_registration.release(inner);
         });
         sleepFor(m_io, schedule.takesUntil() - m_clock.now(), yield);
-        m_callers->stopAccepting();
-        while (m_callers->openExchanges() > 0 && m_clock.now() < schedule.endsAt())
-            sleepFor(m_io, drainPoll, yield);
-        if (m_callers->openExchanges() > 0)
-            logWarning("daemon", "the grace ends with requests in progress",
-                       { { "requests", m_callers->openExchanges() } });
+        m_callerServer->stopAccepting();
+        while (m_callerServer->openExchanges() > 0 && m_clock.now() < schedule.endsAt())
+            sleepFor(m_io, drainPollInterval, yield);
+        if (m_callerServer->openExchanges() > 0)
+            logWarning("daemon", "grace period ended with requests still in progress",
+                       { { "requests", m_callerServer->openExchanges() } });
         m_quarantine.stop();
         m_sync.stop();
         m_relays.stop();
@@ -459,7 +462,7 @@
     FleetSettings m_settings;
     std::string m_settingsPath;
     MonotonicTime m_callsLoggedAt;
-    std::filesystem::file_time_type m_settingsWritten; // When the file was last seen to change.
+    std::filesystem::file_time_type m_settingsModifiedAt; // Modification time at the last check.
     SystemClock m_clock;
     IoContext m_io { 1 };
     LoopKeeper m_loops { m_io, m_clock };
@@ -486,8 +489,8 @@
     QuarantineKeeper m_quarantine;
     boost::asio::signal_set m_stopSignals;
     boost::asio::signal_set m_reloadSignal;
-    std::shared_ptr<HttpServer> m_callers;
-    std::shared_ptr<HttpServer> m_readiness;
+    std::shared_ptr<HttpServer> m_callerServer;
+    std::shared_ptr<HttpServer> m_readinessServer;
     std::shared_ptr<HttpServer> m_metricsServer; // Null if no address is set.
 };
 
@@ -495,7 +498,7 @@
 
 Status runFleetDaemon(const FleetSettings &settings, const std::string &settingsPath)
 {
-    // Never destroyed: suspended coroutines refer to its parts, and the process ends next.
+    // Never destroyed: suspended coroutines refer to its members, and the process ends next.
     return (new FleetDaemon(settings, settingsPath))->run();
 }
 
--- a/daemon/fleet_daemon.h
+++ b/daemon/fleet_daemon.h
@@ -1,5 +1,5 @@
-// The daemon on a platform that hands out servers and configuration: joins the libraries, runs the
-// event loop, stops gracefully.
+// The daemon on a platform that provides servers and configuration: wires the libraries together,
+// runs the event loop and shuts down gracefully.
 
 #pragma once
 
@@ -9,8 +9,9 @@
 
 namespace ramphinge {
 
-// Call once, and end the process after it returns. Runs until a signal ends it. `settingsPath` is
-// read again on SIGHUP and when the file changes. Errors: Unavailable if an address can't be bound.
+// Runs until SIGTERM or SIGINT; call it once and end the process when it returns. Reloads
+// `settingsPath` on SIGHUP and when the file changes. Errors: Unavailable if an address can't be
+// bound.
 Status runFleetDaemon(const FleetSettings &settings, const std::string &settingsPath);
 
 } // namespace ramphinge
--- a/daemon/ramphinged.cpp
+++ b/daemon/ramphinged.cpp
@@ -1,4 +1,4 @@
-// The daemon: joins the libraries, runs the I/O loop, shuts down gracefully.
+// The daemon: wires the libraries together, runs the event loop and shuts down gracefully.
 //
 //   ramphinged --settings daemon.json
 
@@ -19,12 +19,13 @@
 
 using namespace ramphinge;
 
-// Health is red for so long before the port closes: the balancer's probes must see it.
-constexpr Duration drainNotice = std::chrono::seconds(1);
-constexpr Duration openPoll = std::chrono::milliseconds(20);
-constexpr Duration drainPoll = std::chrono::milliseconds(20);
-constexpr std::size_t adminBodyBytes = 8 * 1024 * 1024;
-constexpr std::size_t handoverStack = 128 * 1024;
+// Time between failing the health check and closing the port, so that the load balancer's probes
+// see the failure first.
+constexpr Duration readinessFailureNotice = std::chrono::seconds(1);
+constexpr Duration servingPollInterval = std::chrono::milliseconds(20);
+constexpr Duration drainPollInterval = std::chrono::milliseconds(20);
+constexpr std::size_t maxAdminBodyBytes = 8 * 1024 * 1024;
+constexpr std::size_t drainStackBytes = 128 * 1024;
 
 GatewayOptions gatewayOptions(const Settings &settings)
 {
@@ -49,7 +50,7 @@
           m_gateway(m_io, m_clock, gatewayOptions(m_settings), m_hub, m_timeline, m_metrics),
           m_actors(m_io, m_clock, m_settings, m_self, m_hub, m_board),
           m_admin({ m_io, m_settings, m_hub, m_gateway, m_actors, m_timeline, m_metrics,
-                    [this] { beginDrain(); } }),
+                    [this] { startDrain(); } }),
           m_signals(m_io, SIGTERM, SIGINT)
     { }
 
@@ -57,7 +58,7 @@
     {
         if (const Status started = start(); !started.ok())
             return started;
-        m_signals.async_wait([this](const auto &, int) { beginDrain(); });
+        m_signals.async_wait([this](const auto &, int) { startDrain(); });
         record(EventKind::Started);
         logInfo("daemon", "started", { { "zone", m_settings.zone.text() } });
         runLoop(m_io);
@@ -81,22 +82,23 @@
         if (const Status hub = m_hub.start(m_gateway, m_actors); !hub.ok())
             return hub;
         HttpServerOptions adminOptions;
-        adminOptions.maxBodyBytes = adminBodyBytes;
+        adminOptions.maxBodyBytes = maxAdminBodyBytes;
         auto admin = HttpServer::listen(m_io, m_settings.administration, adminOptions, m_admin);
         if (!admin.ok())
             return admin.error();
-        m_administration = admin.value();
+        m_adminServer = admin.value();
         m_actors.start();
-        spawnCoroutine(m_io, [this](Yield yield) { openToCallers(yield); });
+        spawnCoroutine(m_io, [this](Yield yield) { listenWhenServing(yield); });
         return Done {};
     }
 
-    // Callers find a closed port, not refusals, until the daemon can serve for the first time: of a
-    // request that was never taken in, nobody has to be told whether an earlier try ran.
-    void openToCallers(Yield yield)
+    // Opens the callers' port once the daemon can serve for the first time. Until then connections
+    // are refused rather than requests answered with errors: a request that was never received
+    // raises no question whether an earlier attempt was executed.
+    void listenWhenServing(Yield yield)
     {
         while (!m_draining && m_hub.serving(m_clock.now()).mode == ServingMode::Refusing)
-            sleepFor(m_io, openPoll, yield);
+            sleepFor(m_io, servingPollInterval, yield);
         if (m_draining)
             return;
         HttpServerOptions options;
@@ -105,10 +107,10 @@
         auto callers = HttpServer::listen(m_io, m_settings.callers, options, m_gateway);
         if (!callers.ok()) {
             m_failure = callers.error();
-            beginDrain();
+            startDrain();
             return;
         }
-        m_callers = callers.value();
+        m_callerServer = callers.value();
     }
 
     void record(EventKind kind)
@@ -118,7 +120,7 @@
         m_timeline.record(event);
     }
 
-    void beginDrain()
+    void startDrain()
     {
         if (m_draining)
             return;
@@ -126,32 +128,32 @@
         record(EventKind::Stopping);
         logInfo("daemon", "shutting down gracefully");
         spawnCoroutine(
-            m_io, [this](Yield yield) { drain(yield); }, handoverStack);
+            m_io, [this](Yield yield) { drain(yield); }, drainStackBytes);
     }
 
     void drain(Yield yield)
     {
         m_gateway.startDraining();
-        sleepFor(m_io, drainNotice, yield);
-        if (m_callers)
+        sleepFor(m_io, readinessFailureNotice, yield);
+        if (m_callerServer)
             finishRequests(yield);
-        // Last, since requests in progress may yet settle their keys.
+        // After the requests in progress, which may still settle their idempotency keys.
         m_hub.handOver(yield);
         m_hub.stop();
-        m_administration->stopAccepting();
-        sleepFor(m_io, drainPoll, yield);
+        m_adminServer->stopAccepting();
+        sleepFor(m_io, drainPollInterval, yield);
         m_io.stop();
     }
 
     void finishRequests(Yield yield)
     {
-        m_callers->stopAccepting();
+        m_callerServer->stopAccepting();
         const MonotonicTime until = m_clock.now() + m_settings.drainLimit;
-        while (m_callers->openExchanges() > 0 && m_clock.now() < until)
-            sleepFor(m_io, drainPoll, yield);
-        if (m_callers->openExchanges() > 0)
-            logWarning("daemon", "the drain limit passed with requests in progress",
-                       { { "requests", m_callers->openExchanges() } });
+        while (m_callerServer->openExchanges() > 0 && m_clock.now() < until)
+            sleepFor(m_io, drainPollInterval, yield);
+        if (m_callerServer->openExchanges() > 0)
+            logWarning("daemon", "drain limit reached with requests still in progress",
+                       { { "requests", m_callerServer->openExchanges() } });
     }
 
     Settings m_settings;
@@ -166,19 +168,19 @@
     ControlActors m_actors;
     AdminApi m_admin;
     boost::asio::signal_set m_signals;
-    std::shared_ptr<HttpServer> m_callers;
-    std::shared_ptr<HttpServer> m_administration;
+    std::shared_ptr<HttpServer> m_callerServer;
+    std::shared_ptr<HttpServer> m_adminServer;
     bool m_draining = false;
-    std::optional<Error> m_failure; // Why the daemon can't go on.
+    std::optional<Error> m_failure; // The error that made the daemon stop.
 };
 
-int badSettings(const Error &error)
+int reportInvalidSettings(const Error &error)
 {
     std::cerr << error.message() << '\n';
     return 2;
 }
 
-[[noreturn]] void endAfter(const Status &ran)
+[[noreturn]] void exitWithStatus(const Status &ran)
 {
     if (!ran.ok())
         logError("daemon", ran.error().message());
@@ -190,33 +192,33 @@
     if (isFleetSettings(text)) {
         const Result<FleetSettings> settings = parseFleetSettings(text);
         if (!settings.ok())
-            return badSettings(settings.error());
+            return reportInvalidSettings(settings.error());
     } else if (const Result<Settings> settings = parseSettings(text); !settings.ok()) {
-        return badSettings(settings.error());
+        return reportInvalidSettings(settings.error());
     }
     std::cout << "the settings are valid\n";
     return 0;
 }
 
-int runAlone(const std::string &text)
+int runStandalone(const std::string &text)
 {
     Result<Settings> settings = parseSettings(text);
     if (!settings.ok())
-        return badSettings(settings.error());
+        return reportInvalidSettings(settings.error());
     initializeLogging(settings.value().logLevel, settings.value().daemon);
     installCrashReport(settings.value().daemon);
     // Never destroyed: see endProcess().
-    endAfter((new Daemon(std::move(settings.value())))->run());
+    exitWithStatus((new Daemon(std::move(settings.value())))->run());
 }
 
 int runInFleet(const std::string &text, const std::string &path)
 {
     const Result<FleetSettings> settings = parseFleetSettings(text);
     if (!settings.ok())
-        return badSettings(settings.error());
+        return reportInvalidSettings(settings.error());
     initializeLogging(settings.value().logLevel, settings.value().daemon);
     installCrashReport(settings.value().daemon);
-    endAfter(runFleetDaemon(settings.value(), path));
+    exitWithStatus(runFleetDaemon(settings.value(), path));
 }
 
 } // namespace
@@ -224,11 +226,11 @@
 int main(int argc, char **argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    // Until the daemon listens for it: a request to reload must not end a process that starts.
+    // Ignored until the daemon handles it: a reload request must not terminate a starting process.
     std::signal(SIGHUP, SIG_IGN);
     cxxopts::Options options("ramphinged", "Serving system for models whose replicas span hosts");
     options.add_options()("s,settings", "settings file (JSON)", cxxopts::value<std::string>())(
-        "check-settings", "check the settings file and end")("h,help", "show this");
+        "check-settings", "check the settings file and exit")("h,help", "show this");
     try {
         const auto arguments = options.parse(argc, argv);
         if (arguments.count("help") > 0 || arguments.count("settings") == 0) {
@@ -238,11 +240,11 @@
         const std::string path = arguments["settings"].as<std::string>();
         const Result<std::string> text = readFile(path);
         if (!text.ok())
-            return badSettings(text.error());
+            return reportInvalidSettings(text.error());
         if (arguments.count("check-settings") > 0)
             return checkSettings(text.value());
         return isFleetSettings(text.value()) ? runInFleet(text.value(), path)
-                                             : runAlone(text.value());
+                                             : runStandalone(text.value());
     } catch (const std::exception &e) {
         std::cerr << e.what() << '\n';
         return 2;
--- a/daemon/server_report.cpp
+++ b/daemon/server_report.cpp
@@ -1,4 +1,4 @@
-// Reports of servers: see server_report.h.
+// Servers' announced limits, backoffs and departures: see server_report.h.
 
 #include "daemon/server_report.h"
 
@@ -11,7 +11,7 @@
 struct ServiceTotals
 {
     int limited = 0;
-    double perSecond = 0; // Of the limited ones.
+    double perSecond = 0; // Sum of the limited servers' rates, in requests per second.
     int backingOff = 0;
     int leaving = 0;
 };
@@ -45,7 +45,7 @@
 {
     std::map<ServiceId, ServiceTotals> byService;
     for (const ServiceEntry &service : catalog.services())
-        byService[service.service] = {}; // Back to zero where nothing is stated any more.
+        byService[service.service] = {}; // Resets services that nothing applies to any more.
     const auto totalsOf = [&](const HostId &host) -> ServiceTotals * {
         const UpstreamServer *server = servers.find(host);
         return server == nullptr ? nullptr : &byService[server->service];
--- a/daemon/server_report.h
+++ b/daemon/server_report.h
@@ -1,5 +1,5 @@
-// What a daemon reports of servers that said something of themselves: that limit their rate, asked
-// for no requests for a while, or leave.
+// What a daemon reports about servers that announced a rate limit, a backoff or their departure, as
+// JSON and as metrics.
 
 #pragma once
 
@@ -12,12 +12,13 @@
 
 namespace ramphinge {
 
-// A list with an object a server: host, service, and of these what applies: limit (per_second,
-// stated_ms_ago, ended, shares), backoff_left_ms (0 while it is tried again), leaving (true).
+// An array with one object per server: host, service and, where they apply, limit (per_second,
+// stated_ms_ago, ended, shares), backoff_left_ms (0 while the server is probed after its backoff)
+// and leaving (true).
 nlohmann::json serversAsJson(const ServerGate &gate, const FleetView &servers, MonotonicTime now);
 
-// Sets how many servers of each service are limited, with what they accept together, asked for
-// nothing, or leave.
+// Sets the metrics of each service: its servers that limit their rate and the sum of their limits,
+// that are backing off, and that are leaving.
 void measureServers(const ServerGate &gate, const FleetView &servers, const ServiceCatalog &catalog,
                     Metrics &metrics, MonotonicTime now);
 
--- a/daemon/status_handler.cpp
+++ b/daemon/status_handler.cpp
@@ -1,4 +1,4 @@
-// Readiness, metrics and servers' statements: see status_handler.h.
+// Readiness, metrics and server limits: see status_handler.h.
 
 #include "daemon/status_handler.h"
 
@@ -23,7 +23,7 @@
         response = { 200, { { "Content-Type", "text/plain" } }, m_metrics.toText() };
     else if (path == "/limits")
         response = jsonResponse(200, m_servers().dump());
-    static_cast<void>(exchange.respond(response, yield)); // Whoever asked has gone.
+    static_cast<void>(exchange.respond(response, yield)); // Fails if the client has disconnected.
 }
 
 } // namespace ramphinge
--- a/daemon/status_handler.h
+++ b/daemon/status_handler.h
@@ -1,4 +1,4 @@
-// What a daemon on a platform answers to the balancer, and to whoever reads its metrics.
+// HTTP handler for a platform daemon's readiness, metrics and server-limit endpoints.
 
 #pragma once
 
@@ -15,8 +15,8 @@
 class StatusHandler : public HttpHandler
 {
 public:
-    // `ready`: whether the balancer should send callers here; `servers`: what servers said of
-    // themselves. `metrics` must outlive the handler.
+    // `ready`: whether the load balancer should send callers to this daemon; `servers`: the rate
+    // limits, backoffs and departures that servers announced. `metrics` must outlive the handler.
     StatusHandler(std::function<bool()> ready, std::function<nlohmann::json()> servers,
                   const Metrics &metrics);
 
