--- a/ctl/admin_client.cpp
+++ b/ctl/admin_client.cpp
@@ -82,7 +82,7 @@
     return last;
 }
 
-std::string encoded(const std::string &text)
+std::string percentEncoded(const std::string &text)
 {
     std::string result;
     for (const unsigned char c : text) {
--- a/ctl/admin_client.h
+++ b/ctl/admin_client.h
@@ -1,4 +1,4 @@
-// Talks to the administration APIs of one or more daemons.
+// Client of the administration APIs of one or more daemons.
 
 #pragma once
 
@@ -14,10 +14,10 @@
 struct ServerList
 {
     std::vector<Endpoint> servers;
-    std::string key; // Operator's key.
+    std::string key; // The operator's key.
 };
 
-// "a:1,b:2". Errors: InvalidInput.
+// Parses a comma-separated list of addresses, such as "a:1,b:2". Errors: InvalidInput.
 Result<std::vector<Endpoint>> parseServers(const std::string &text);
 
 // Not thread-safe.
@@ -28,12 +28,13 @@
 
     const std::vector<Endpoint> &servers() const { return m_list.servers; }
 
-    // Calls one server. Errors: the API's own kind and message, or Unavailable, Unknown.
+    // Calls one daemon. Errors: the kind and message that the API returned, or Unavailable or
+    // Unknown if the call failed.
     Result<nlohmann::json> call(const Endpoint &server, const std::string &method,
                                 const std::string &target, const nlohmann::json &body = {});
 
-    // Calls the first server that can be reached. Nothing is tried again that may have had an
-    // effect.
+    // Calls the first daemon to which a connection can be made. A call that may have had an effect
+    // is not retried.
     Result<nlohmann::json> callAny(const std::string &method, const std::string &target,
                                    const nlohmann::json &body = {});
 
@@ -42,7 +43,7 @@
     BlockingHttpClient m_client;
 };
 
-// A query parameter's value, percent-encoded.
-std::string encoded(const std::string &text);
+// Percent-encodes the value of a query parameter.
+std::string percentEncoded(const std::string &text);
 
 } // namespace ramphinge
--- a/ctl/handover.cpp
+++ b/ctl/handover.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 using Json = nlohmann::json;
-using Say = std::function<void(const std::string &)>;
+using StepCallback = std::function<void(const std::string &)>;
 
-constexpr Duration drainPoll = std::chrono::milliseconds(200);
+constexpr Duration drainPollInterval = std::chrono::milliseconds(200);
 
 struct Side
 {
@@ -20,10 +20,10 @@
     std::int64_t epoch = 0;
 };
 
-Status look(Side &side, const std::string &account)
+Status readHolding(Side &side, const std::string &account)
 {
     const Result<Json> holding =
-        side.client.callAny("GET", "/admin/v1/holding?account=" + encoded(account));
+        side.client.callAny("GET", "/admin/v1/holding?account=" + percentEncoded(account));
     if (!holding.ok())
         return holding.error();
     side.phase = holding.value().value("phase", "");
@@ -36,27 +36,27 @@
     return toUnixMilliseconds(SystemClock().wallNow());
 }
 
-// Changes one holding in the side's accepted document; refused if another change came between.
-Status change(Side &side, const std::string &account, const std::string &phase, std::int64_t epoch,
-              std::int64_t since)
+// Changes one holding in the side's accepted configuration. Fails if it was changed concurrently.
+Status changeHolding(Side &side, const std::string &account, const std::string &phase,
+                     std::int64_t epoch, std::int64_t since)
 {
     const Result<Json> current = side.client.callAny("GET", "/admin/v1/config");
     if (!current.ok())
         return current.error();
     Json document = current.value().at("document");
-    Json kept = Json::array();
-    std::int64_t keptSince = 0;
+    Json holdings = Json::array();
+    std::int64_t currentSince = 0;
     for (const Json &holding : document.value("holdings", Json::array())) {
         if (holding.value("account", "") == account)
-            keptSince = holding.value("sinceMs", std::int64_t { 0 });
+            currentSince = holding.value("sinceMs", std::int64_t { 0 });
         else
-            kept.push_back(holding);
+            holdings.push_back(holding);
     }
-    kept.push_back({ { "account", account },
-                     { "phase", phase },
-                     { "epoch", epoch },
-                     { "sinceMs", since != 0 ? since : keptSince } });
-    document["holdings"] = kept;
+    holdings.push_back({ { "account", account },
+                         { "phase", phase },
+                         { "epoch", epoch },
+                         { "sinceMs", since != 0 ? since : currentSince } });
+    document["holdings"] = holdings;
     const Result<Json> applied = side.client.callAny(
         "POST", "/admin/v1/apply",
         { { "document", document }, { "expectedVersion", current.value().at("version") } });
@@ -72,17 +72,19 @@
 }
 
 // Waits until no daemon of the side has a request of the account in progress.
-Status awaitIdle(Side &side, const std::string &account, Duration limit, const Say &say)
+Status awaitIdle(Side &side, const std::string &account, Duration limit,
+                 const StepCallback &reportStep)
 {
     const auto until = BootClock::now() + limit;
     while (true) {
         std::int64_t inProgress = 0;
         for (const Endpoint &server : side.client.servers()) {
-            const Result<Json> holding =
-                side.client.call(server, "GET", "/admin/v1/holding?account=" + encoded(account));
+            const Result<Json> holding = side.client.call(
+                server, "GET", "/admin/v1/holding?account=" + percentEncoded(account));
             if (!holding.ok())
                 return Error(ErrorKind::Unavailable,
-                             toString(server) + " can't say whether it has work in progress ("
+                             toString(server)
+                                 + " didn't report whether it has requests in progress ("
                                  + holding.error().message() + "); name only daemons that run");
             inProgress += holding.value().value("inProgress", std::int64_t { 0 });
         }
@@ -93,73 +95,74 @@
                          std::to_string(inProgress)
                              + " requests are still in progress; run this "
                                "again, or with --abort to go back");
-        say("waiting for " + std::to_string(inProgress) + " requests in progress");
-        std::this_thread::sleep_for(drainPoll);
+        reportStep("waiting for " + std::to_string(inProgress) + " requests in progress");
+        std::this_thread::sleep_for(drainPollInterval);
     }
 }
 
-Status abortHandover(Side &from, const std::string &account, const Say &say)
+Status abortHandover(Side &from, const std::string &account, const StepCallback &reportStep)
 {
     if (from.phase == "here") {
-        say("nothing to abort: the giving side holds the account");
+        reportStep("nothing to abort: the source side holds the account");
         return Done {};
     }
     if (from.phase == "there")
         return Error(ErrorKind::Conflict,
-                     "the giving side has let go already; finish the handover, "
+                     "the source side has released the account already; finish the handover, "
                      "then hand it back");
-    say("giving side: draining -> here");
-    return change(from, account, "here", from.epoch + 1, 0);
+    reportStep("source side: draining -> here");
+    return changeHolding(from, account, "here", from.epoch + 1, 0);
 }
 
 } // namespace
 
 Status handOver(AdminClient &fromClient, AdminClient &toClient, const HandoverRequest &request,
-                const Say &say)
+                const StepCallback &reportStep)
 {
     Side from { fromClient, {}, 0 };
     Side to { toClient, {}, 0 };
     for (Side *side : { &from, &to }) {
-        if (const Status seen = look(*side, request.account); !seen.ok())
+        if (const Status seen = readHolding(*side, request.account); !seen.ok())
             return seen;
     }
     if (request.abort)
-        return abortHandover(from, request.account, say);
+        return abortHandover(from, request.account, reportStep);
     if (to.phase == "here" && from.phase == "there") {
-        say("the handover is complete");
+        reportStep("the handover is complete");
         return Done {};
     }
-    // Prepare: the taking side must know the account, and not hold it.
+    // The destination side must have declared the account without holding it.
     if (to.phase != "there")
         return Error(
             ErrorKind::Conflict,
-            "the taking side must declare the account with phase \"there\" first; it has \""
+            "the destination side must declare the account with phase \"there\" first; it has \""
                 + to.phase + "\"");
     if (from.phase == "here") {
-        say("giving side: here -> draining");
+        reportStep("source side: here -> draining");
         const std::int64_t epoch = std::max(from.epoch, to.epoch) + 1;
-        // The giving side's own epoch grows by one; a taking side that is ahead has held it since.
+        // The epoch grows by one with each handover: a destination side whose epoch is higher held
+        // the account more recently.
         if (epoch != from.epoch + 1)
             return Error(ErrorKind::Conflict,
-                         "the taking side's epoch is ahead; the giving side is "
+                         "the destination side's epoch is ahead; the source side is "
                          "not the last holder");
-        const Status done = change(from, request.account, "draining", epoch, 0);
+        const Status done = changeHolding(from, request.account, "draining", epoch, 0);
         if (!done.ok())
             return done;
     }
     if (from.phase == "draining") {
-        const Status idle = awaitIdle(from, request.account, request.drainLimit, say);
+        const Status idle = awaitIdle(from, request.account, request.drainLimit, reportStep);
         if (!idle.ok())
             return idle;
-        say("giving side: draining -> there (from here on it is decided)");
-        const Status done = change(from, request.account, "there", from.epoch, 0);
+        reportStep("source side: draining -> there (irreversible from here on)");
+        const Status done = changeHolding(from, request.account, "there", from.epoch, 0);
         if (!done.ok())
             return done;
     }
-    say("taking side: there -> here");
-    const Status done = change(to, request.account, "here", from.epoch, nowMilliseconds());
+    reportStep("destination side: there -> here");
+    const Status done = changeHolding(to, request.account, "here", from.epoch, nowMilliseconds());
     if (done.ok())
-        say("the handover is complete");
+        reportStep("the handover is complete");
     return done;
 }
 
--- a/ctl/handover.h
+++ b/ctl/handover.h
@@ -1,7 +1,8 @@
-// Drives the handover of one account's work from one side of a migration to the other.
+// Hands one account's work over from the source side of a migration to the destination side.
 //
-// It keeps no state: each run looks at both sides and makes the next steps, so that a run that was
-// lost anywhere is simply repeated. Every step is an ordinary change of configuration on one side.
+// Keeps no state: each run reads the phase of both sides and carries out the remaining steps, so
+// that an interrupted run can simply be repeated. Each step is an ordinary configuration change on
+// one side.
 
 #pragma once
 
@@ -15,12 +16,13 @@
 struct HandoverRequest
 {
     std::string account;
-    bool abort = false; // Back to the giving side, if it has not let go yet.
+    bool abort = false; // Return the account to the source side, if it has not released it yet.
     Duration drainLimit = std::chrono::seconds(120);
 };
 
-// `say` is told of each step. Errors: what stopped it; run it again to go on.
+// Calls `reportStep` with a description of each step. Returns the error that interrupted the
+// handover; call it again to continue.
 Status handOver(AdminClient &from, AdminClient &to, const HandoverRequest &request,
-                const std::function<void(const std::string &)> &say);
+                const std::function<void(const std::string &)> &reportStep);
 
 } // namespace ramphinge
--- a/ctl/print.cpp
+++ b/ctl/print.cpp
@@ -1,4 +1,4 @@
-// Output for people: see print.h.
+// Human-readable output: see print.h.
 
 #include "ctl/print.h"
 
--- a/ctl/print.h
+++ b/ctl/print.h
@@ -1,4 +1,4 @@
-// What people see: status on one screen, the time line in order, differences.
+// Human-readable output of statuses, configuration differences, history and timeline events.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace ramphinge {
 
-// One answer of a daemon's status call each; null for daemons that did not answer.
+// A daemon's answer to a status call; `status` is null and `error` set if the call failed.
 struct DaemonStatus
 {
     std::string server;
@@ -22,7 +22,8 @@
 void printHistory(const nlohmann::json &history, std::ostream &out);
 void printEvents(const std::vector<nlohmann::json> &events, std::ostream &out);
 
-// The trace-event format that browsers' trace viewers open: one row a daemon, requests as spans.
+// Converts events to the trace-event format of browsers' trace viewers, with one row per daemon and
+// requests as spans.
 nlohmann::json traceOf(const std::vector<nlohmann::json> &events);
 
 } // namespace ramphinge
--- a/ctl/quarantine_commands.cpp
+++ b/ctl/quarantine_commands.cpp
@@ -1,4 +1,4 @@
-// Requests that are held back, for operators: see quarantine_commands.h.
+// Listing and release of quarantined requests: see quarantine_commands.h.
 
 #include "ctl/quarantine_commands.h"
 
@@ -13,13 +13,13 @@
 
 namespace {
 
-// Calls `body` with the store at `address`, on a loop of its own.
+// Runs `body` with a client of the store at `address`, on an event loop of its own.
 template <typename Outcome, typename Body> Outcome withStore(const std::string &address, Body body)
 {
     const Result<Endpoint> endpoint = parseEndpoint(address);
     if (!endpoint.ok())
         return Error(ErrorKind::InvalidInput,
-                     "say where the platform's store is, with --store: "
+                     "pass the address of the platform's store with --store: "
                          + endpoint.error().message());
     IoContext io(1);
     platform::KvClientOptions options;
@@ -33,36 +33,36 @@
 
 } // namespace
 
-Result<CrashReport> heldRequests(const std::string &store)
+Result<CrashReport> listQuarantinedRequests(const std::string &store)
 {
     return withStore<Result<CrashReport>>(
-        store, [](KeyValueStore &opened, Yield yield) { return readHeldRequests(opened, yield); });
+        store, [](KeyValueStore &client, Yield yield) { return readHeldRequests(client, yield); });
 }
 
-Status releaseHeldRequest(const std::string &store, const std::string &fingerprint)
+Status releaseQuarantinedRequest(const std::string &store, const std::string &fingerprint)
 {
-    return withStore<Status>(store, [&](KeyValueStore &opened, Yield yield) {
-        return releaseRequest(opened, RequestFingerprint(fingerprint), yield);
+    return withStore<Status>(store, [&](KeyValueStore &client, Yield yield) {
+        return releaseRequest(client, RequestFingerprint(fingerprint), yield);
     });
 }
 
-void printHeldRequests(const CrashReport &held, std::ostream &out)
+void printQuarantinedRequests(const CrashReport &quarantined, std::ostream &out)
 {
-    if (held.empty())
-        out << "no request is held back\n";
-    for (const auto &[fingerprint, record] : held) {
+    if (quarantined.empty())
+        out << "no request is quarantined\n";
+    for (const auto &[fingerprint, record] : quarantined) {
         const std::time_t seen = toUnixMilliseconds(record.lastSeen) / 1000;
         out << fingerprint << "  account " << record.account << "  route " << record.route
-            << "  last " << std::put_time(std::gmtime(&seen), "%F %TZ") << "  servers ended:";
+            << "  last " << std::put_time(std::gmtime(&seen), "%F %TZ") << "  crashed servers:";
         for (const HostId &host : record.counting())
             out << ' ' << host;
         out << '\n';
     }
 }
 
-std::string heldRequestsAsJson(const CrashReport &held)
+std::string quarantinedRequestsAsJson(const CrashReport &quarantined)
 {
-    return serializeCrashReport(held);
+    return serializeCrashReport(quarantined);
 }
 
 } // namespace ramphinge
--- a/ctl/quarantine_commands.h
+++ b/ctl/quarantine_commands.h
@@ -1,4 +1,5 @@
-// The commands about requests that are held back, on a platform: they speak to its store.
+// The commands that list and release quarantined requests. They access the platform's store
+// directly.
 
 #pragma once
 
@@ -9,12 +10,13 @@
 
 namespace ramphinge {
 
-// `store`: "address:port". Errors: InvalidInput for an address that can't be read; the store's.
-Result<CrashReport> heldRequests(const std::string &store);
-Status releaseHeldRequest(const std::string &store, const std::string &fingerprint);
+// `store`: "address:port". Errors: InvalidInput if the address is malformed; the store's errors.
+Result<CrashReport> listQuarantinedRequests(const std::string &store);
+Status releaseQuarantinedRequest(const std::string &store, const std::string &fingerprint);
 
-// A line a request: fingerprint, account, route, when it was last seen, the servers.
-void printHeldRequests(const CrashReport &held, std::ostream &out);
-std::string heldRequestsAsJson(const CrashReport &held);
+// Prints one line per request: fingerprint, account, route, when it was last seen, and the servers
+// that crashed while running it.
+void printQuarantinedRequests(const CrashReport &quarantined, std::ostream &out);
+std::string quarantinedRequestsAsJson(const CrashReport &quarantined);
 
 } // namespace ramphinge
--- a/ctl/ramphingectl.cpp
+++ b/ctl/ramphingectl.cpp
@@ -1,6 +1,6 @@
-// The operators' command-line tool. Output is for people; --json for programs.
+// The operators' command-line tool. Prints human-readable output, or JSON with --json.
 //
-// Exit codes: 0 done, 1 refused or failed, 2 wrong use, 3 outcome unknown.
+// Exit codes: 0 success, 1 rejected or failed, 2 usage error, 3 outcome unknown.
 
 #include <algorithm>
 #include <cstdlib>
@@ -33,29 +33,29 @@
   validate FILE            check a configuration, offline
   validate-settings FILE   check a daemon's settings, offline
   schema WHAT              print a schema: configuration or settings
-  diff FILE                what a configuration would change, expanded
-  apply FILE               put a configuration in force everywhere, or have it refused
-  config                   the accepted configuration
-  history                  accepted changes, newest first
-  status                   daemons, replicas, planners on one screen
-  explain ACCOUNT MODEL    where a request would go, and why
-  timeline [TEXT]          events of all daemons in one order; TEXT is an id of any kind
+  diff FILE                show what a configuration would change, expanded
+  apply FILE               apply a configuration on all daemons, or report why it is rejected
+  config                   print the accepted configuration
+  history                  list accepted changes, newest first
+  status                   show daemons, replicas and planners
+  explain ACCOUNT MODEL    show where a request would go, and why
+  timeline [TEXT]          list events of all daemons by time; TEXT is an id of any kind
   drain                    shut the (first) server down gracefully
-  handover ACCOUNT         hand an account's work to the other side (--to)
-  quarantine               requests that are held back since servers ended under them (--store)
-  limits                   servers that limit their rate, asked for backoff or leave, by daemon (--metrics)
-  release FINGERPRINT      let such a request go; held back anew if it ends servers again (--store)
-  hash-key                 SHA-256 of a key on standard input, for a configuration
-  new-key                  a new random key
+  handover ACCOUNT         hand an account's work over to the destination side (--to)
+  quarantine               list requests quarantined because servers crashed while running them (--store)
+  limits                   list servers that limit their rate, back off or are leaving, by daemon (--metrics)
+  release FINGERPRINT      release a quarantined request, until it crashes servers again (--store)
+  hash-key                 print the SHA-256 of a key on standard input, for a configuration
+  new-key                  print a new random key
 )";
 
-int failed(const Error &error)
+int reportFailure(const Error &error)
 {
     std::cerr << toString(error.kind()) << ": " << error.message() << '\n';
     return error.kind() == ErrorKind::Unknown ? exitUnknown : exitFailed;
 }
 
-// Everything that a command needs.
+// The parsed command line and the client that commands use.
 struct Invocation
 {
     cxxopts::ParseResult options;
@@ -69,11 +69,11 @@
     }
 };
 
-int show(const Invocation &invocation, const Result<Json> &result,
-         const std::function<void(const Json &)> &print)
+int printResult(const Invocation &invocation, const Result<Json> &result,
+                const std::function<void(const Json &)> &print)
 {
     if (!result.ok())
-        return failed(result.error());
+        return reportFailure(result.error());
     if (invocation.json)
         std::cout << result.value().dump(2) << '\n';
     else
@@ -93,7 +93,7 @@
 {
     const Result<Json> document = readDocument(invocation.argument(1));
     if (!document.ok())
-        return failed(document.error());
+        return reportFailure(document.error());
     const Findings findings = validateConfiguration(document.value());
     if (invocation.json) {
         Json list = Json::array();
@@ -103,7 +103,7 @@
         return findings.empty() ? 0 : exitFailed;
     }
     if (!findings.empty())
-        return failed(toError(findings));
+        return reportFailure(toError(findings));
     std::cout << "the configuration is valid\n";
     return 0;
 }
@@ -112,7 +112,7 @@
 {
     const Result<Settings> settings = loadSettings(invocation.argument(1));
     if (!settings.ok())
-        return failed(settings.error());
+        return reportFailure(settings.error());
     std::cout << "the settings are valid\n";
     return 0;
 }
@@ -124,8 +124,8 @@
     else if (invocation.argument(1) == "settings")
         std::cout << settingsSchemaText;
     else
-        return failed(
-            { ErrorKind::InvalidInput, "say \"schema configuration\" or \"schema settings\"" });
+        return reportFailure(
+            { ErrorKind::InvalidInput, "use \"schema configuration\" or \"schema settings\"" });
     return 0;
 }
 
@@ -133,16 +133,17 @@
 {
     const Result<Json> document = readDocument(invocation.argument(1));
     if (!document.ok())
-        return failed(document.error());
-    return show(invocation, invocation.client.callAny("POST", "/admin/v1/diff", document.value()),
-                [](const Json &json) { printDiff(json.at("diff"), std::cout); });
+        return reportFailure(document.error());
+    return printResult(invocation,
+                       invocation.client.callAny("POST", "/admin/v1/diff", document.value()),
+                       [](const Json &json) { printDiff(json.at("diff"), std::cout); });
 }
 
 int apply(Invocation &invocation)
 {
     const Result<Json> document = readDocument(invocation.argument(1));
     if (!document.ok())
-        return failed(document.error());
+        return reportFailure(document.error());
     Json body { { "document", document.value() },
                 { "withoutZones", Json::array() },
                 { "withoutDaemons", Json::array() } };
@@ -154,30 +155,31 @@
         const char *field = std::string(name) == "without-zone" ? "withoutZones" : "withoutDaemons";
         body[field] = invocation.options[name].as<std::vector<std::string>>();
     }
-    return show(invocation, invocation.client.callAny("POST", "/admin/v1/apply", body),
-                [](const Json &json) {
-                    printDiff(json.at("diff"), std::cout);
-                    std::cout << "version " << json.at("version") << " accepted, in force after "
-                              << json.at("inForceMs").get<double>() << " ms";
-                    for (const Json &late : json.at("notYetInForce"))
-                        std::cout << "; NOT YET on " << late.get<std::string>();
-                    std::cout << '\n';
-                });
+    return printResult(invocation, invocation.client.callAny("POST", "/admin/v1/apply", body),
+                       [](const Json &json) {
+                           printDiff(json.at("diff"), std::cout);
+                           std::cout << "version " << json.at("version")
+                                     << " accepted, in force after "
+                                     << json.at("inForceMs").get<double>() << " ms";
+                           for (const Json &late : json.at("notYetInForce"))
+                               std::cout << "; NOT YET on " << late.get<std::string>();
+                           std::cout << '\n';
+                       });
 }
 
 int config(Invocation &invocation)
 {
-    return show(invocation, invocation.client.callAny("GET", "/admin/v1/config"),
-                [](const Json &json) {
-                    std::cerr << "version " << json.at("version") << '\n';
-                    std::cout << json.at("document").dump(2) << '\n';
-                });
+    return printResult(invocation, invocation.client.callAny("GET", "/admin/v1/config"),
+                       [](const Json &json) {
+                           std::cerr << "version " << json.at("version") << '\n';
+                           std::cout << json.at("document").dump(2) << '\n';
+                       });
 }
 
 int history(Invocation &invocation)
 {
-    return show(invocation, invocation.client.callAny("GET", "/admin/v1/history"),
-                [](const Json &json) { printHistory(json.at("history"), std::cout); });
+    return printResult(invocation, invocation.client.callAny("GET", "/admin/v1/history"),
+                       [](const Json &json) { printHistory(json.at("history"), std::cout); });
 }
 
 int status(Invocation &invocation)
@@ -205,11 +207,11 @@
 
 int explain(Invocation &invocation)
 {
-    const std::string target = "/admin/v1/explain?account=" + encoded(invocation.argument(1))
-        + "&model=" + encoded(invocation.argument(2))
-        + "&prompt=" + encoded(invocation.options["prompt"].as<std::string>());
-    return show(invocation, invocation.client.callAny("GET", target),
-                [](const Json &json) { std::cout << json.dump(2) << '\n'; });
+    const std::string target = "/admin/v1/explain?account=" + percentEncoded(invocation.argument(1))
+        + "&model=" + percentEncoded(invocation.argument(2))
+        + "&prompt=" + percentEncoded(invocation.options["prompt"].as<std::string>());
+    return printResult(invocation, invocation.client.callAny("GET", target),
+                       [](const Json &json) { std::cout << json.dump(2) << '\n'; });
 }
 
 int timeline(Invocation &invocation)
@@ -217,7 +219,7 @@
     std::vector<Json> events;
     const std::string target =
         "/admin/v1/timeline?limit=" + std::to_string(invocation.options["limit"].as<int>())
-        + "&text=" + encoded(invocation.argument(1));
+        + "&text=" + percentEncoded(invocation.argument(1));
     for (const Endpoint &server : invocation.client.servers()) {
         const Result<Json> answer = invocation.client.call(server, "GET", target);
         if (!answer.ok()) {
@@ -248,8 +250,9 @@
 
 int drain(Invocation &invocation)
 {
-    return show(invocation, invocation.client.callAny("POST", "/admin/v1/drain", Json::object()),
-                [](const Json &) { std::cout << "draining\n"; });
+    return printResult(invocation,
+                       invocation.client.callAny("POST", "/admin/v1/drain", Json::object()),
+                       [](const Json &) { std::cout << "draining\n"; });
 }
 
 int handover(Invocation &invocation)
@@ -257,7 +260,8 @@
     const Result<std::vector<Endpoint>> servers =
         parseServers(invocation.options["to"].as<std::string>());
     if (!servers.ok())
-        return failed({ ErrorKind::InvalidInput, "name the taking side's servers with --to" });
+        return reportFailure(
+            { ErrorKind::InvalidInput, "pass the destination side's servers with --to" });
     const std::string key = invocation.options["to-key"].as<std::string>();
     AdminClient to(
         { servers.value(), key.empty() ? invocation.options["key"].as<std::string>() : key });
@@ -267,35 +271,37 @@
     request.drainLimit = std::chrono::seconds(invocation.options["drain-limit"].as<int>());
     const Status done = handOver(invocation.client, to, request,
                                  [](const std::string &step) { std::cout << step << std::endl; });
-    return done.ok() ? 0 : failed(done.error());
+    return done.ok() ? 0 : reportFailure(done.error());
 }
 
 int quarantine(const Invocation &invocation)
 {
-    const Result<CrashReport> held = heldRequests(invocation.options["store"].as<std::string>());
-    if (!held.ok())
-        return failed(held.error());
+    const Result<CrashReport> quarantined =
+        listQuarantinedRequests(invocation.options["store"].as<std::string>());
+    if (!quarantined.ok())
+        return reportFailure(quarantined.error());
     if (invocation.json)
-        std::cout << heldRequestsAsJson(held.value()) << '\n';
+        std::cout << quarantinedRequestsAsJson(quarantined.value()) << '\n';
     else
-        printHeldRequests(held.value(), std::cout);
+        printQuarantinedRequests(quarantined.value(), std::cout);
     return 0;
 }
 
 int limits(const Invocation &invocation)
 {
-    return show(invocation, statingServers(invocation.options["metrics"].as<std::string>()),
-                [](const Json &json) { printStatingServers(json, std::cout); });
+    return printResult(invocation,
+                       fetchServerStates(invocation.options["metrics"].as<std::string>()),
+                       [](const Json &json) { printServerStates(json, std::cout); });
 }
 
 int release(const Invocation &invocation)
 {
     const std::string fingerprint = invocation.argument(1);
     const Status done =
-        releaseHeldRequest(invocation.options["store"].as<std::string>(), fingerprint);
+        releaseQuarantinedRequest(invocation.options["store"].as<std::string>(), fingerprint);
     if (!done.ok())
-        return failed(done.error());
-    std::cout << fingerprint << " is let go; daemons send it again within seconds\n";
+        return reportFailure(done.error());
+    std::cout << fingerprint << " released; daemons will send it again within seconds\n";
     return 0;
 }
 
@@ -351,7 +357,7 @@
         return hashKey();
     if (command == "new-key")
         return newKey();
-    std::cerr << "there is no command \"" << command << "\"\n" << commandHelp;
+    std::cerr << "unknown command \"" << command << "\"\n" << commandHelp;
     return exitUsage;
 }
 
@@ -375,20 +381,23 @@
         cxxopts::value<std::string>()->default_value(environment("RAMPHINGE_STORE")))(
         "metrics", "daemons' metrics addresses, comma-separated",
         cxxopts::value<std::string>()->default_value(environment("RAMPHINGE_METRICS")))(
-        "json", "output for programs")("expected-version", "refuse if another version is accepted",
-                                       cxxopts::value<std::int64_t>())(
+        "json", "print JSON")("expected-version", "fail if another version is accepted",
+                              cxxopts::value<std::int64_t>())(
         "without-zone", "a zone that need not confirm", cxxopts::value<std::vector<std::string>>())(
         "without-daemon", "a stopped daemon that need not confirm",
         cxxopts::value<std::vector<std::string>>())(
-        "prompt", "for explain", cxxopts::value<std::string>()->default_value(""))(
-        "limit", "events of each daemon", cxxopts::value<int>()->default_value("1000"))(
-        "trace", "write a trace-event file", cxxopts::value<std::string>())(
-        "to", "the taking side's servers", cxxopts::value<std::string>()->default_value(""))(
-        "to-key", "operator's key there", cxxopts::value<std::string>()->default_value(""))(
-        "abort", "go back on a handover")("drain-limit", "seconds to wait for requests in progress",
-                                          cxxopts::value<int>()->default_value("120"))(
-        "h,help", "show this")("words", "command and arguments",
-                               cxxopts::value<std::vector<std::string>>());
+        "prompt", "prompt of the request to explain",
+        cxxopts::value<std::string>()->default_value(""))(
+        "limit", "maximum number of events from each daemon",
+        cxxopts::value<int>()->default_value("1000"))("trace", "write a trace-event file",
+                                                      cxxopts::value<std::string>())(
+        "to", "administration addresses of the destination side",
+        cxxopts::value<std::string>()->default_value(""))(
+        "to-key", "operator's key of the destination side",
+        cxxopts::value<std::string>()->default_value(""))("abort", "abort a handover")(
+        "drain-limit", "seconds to wait for requests in progress",
+        cxxopts::value<int>()->default_value("120"))("h,help", "show this")(
+        "words", "command and arguments", cxxopts::value<std::vector<std::string>>());
     options.parse_positional({ "words" });
     options.positional_help("COMMAND [ARGUMENTS]");
     try {
@@ -402,7 +411,7 @@
         if (const std::string servers = parsed["server"].as<std::string>(); !servers.empty()) {
             const Result<std::vector<Endpoint>> endpoints = parseServers(servers);
             if (!endpoints.ok())
-                return failed(endpoints.error()), exitUsage;
+                return reportFailure(endpoints.error()), exitUsage;
             list.servers = endpoints.value();
         }
         const auto words = parsed["words"].as<std::vector<std::string>>();
--- a/ctl/server_commands.cpp
+++ b/ctl/server_commands.cpp
@@ -1,4 +1,4 @@
-// Servers' statements of themselves, for operators: see server_commands.h.
+// Servers' announced limits, backoffs and departures: see server_commands.h.
 
 #include "ctl/server_commands.h"
 
@@ -14,7 +14,7 @@
 constexpr int statusOk = 200;
 constexpr Duration timeout = std::chrono::seconds(3);
 
-Result<nlohmann::json> statesAt(const Endpoint &daemon)
+Result<nlohmann::json> fetchStatesFrom(const Endpoint &daemon)
 {
     BlockingHttpClient client;
     const Result<HttpResponse> response =
@@ -29,30 +29,30 @@
 
 void printLimit(const nlohmann::json &limit, std::ostream &out)
 {
-    out << "  " << limit.at("per_second").get<double>() << " a second"
-        << (limit.at("ended").get<bool>() ? " and rising, its limit has ended" : "")
-        << (limit.at("shares").get<bool>() ? ", sent to by this daemon" : "") << ", stated "
+    out << "  " << limit.at("per_second").get<double>() << " requests per second"
+        << (limit.at("ended").get<bool>() ? " and rising, since its limit has ended" : "")
+        << (limit.at("shares").get<bool>() ? ", with a share for this daemon" : "") << ", stated "
         << limit.at("stated_ms_ago").get<double>() / 1000 << " s ago";
 }
 
 void printBackoff(double leftMilliseconds, std::ostream &out)
 {
     if (leftMilliseconds > 0)
-        out << "  asked for no requests for " << leftMilliseconds / 1000 << " s more";
+        out << "  backing off for " << leftMilliseconds / 1000 << " s";
     else
-        out << "  is tried again after a backoff";
+        out << "  being probed after a backoff";
 }
 
 } // namespace
 
-Result<nlohmann::json> statingServers(const std::string &daemons)
+Result<nlohmann::json> fetchServerStates(const std::string &daemons)
 {
     const Result<std::vector<Endpoint>> endpoints = parseServers(daemons);
     if (!endpoints.ok() || endpoints.value().empty())
-        return Error(ErrorKind::InvalidInput, "say which daemons to ask, with --metrics");
+        return Error(ErrorKind::InvalidInput, "pass the daemons' metrics addresses with --metrics");
     nlohmann::json byDaemon = nlohmann::json::object();
     for (const Endpoint &daemon : endpoints.value()) {
-        Result<nlohmann::json> states = statesAt(daemon);
+        Result<nlohmann::json> states = fetchStatesFrom(daemon);
         if (!states.ok())
             return states.error();
         byDaemon[toString(daemon)] = std::move(states.value());
@@ -60,11 +60,11 @@
     return byDaemon;
 }
 
-void printStatingServers(const nlohmann::json &byDaemon, std::ostream &out)
+void printServerStates(const nlohmann::json &byDaemon, std::ostream &out)
 {
     for (const auto &[daemon, states] : byDaemon.items()) {
         if (states.empty())
-            out << daemon << "  no server limits its rate, asked for backoff or leaves\n";
+            out << daemon << "  no server limits its rate, asked for a backoff or is leaving\n";
         for (const nlohmann::json &state : states) {
             out << daemon << "  " << state.at("host").get<std::string>() << "  service "
                 << state.at("service").get<std::string>();
@@ -73,7 +73,7 @@
             if (state.contains("backoff_left_ms"))
                 printBackoff(state.at("backoff_left_ms").get<double>(), out);
             if (state.value("leaving", false))
-                out << "  leaves";
+                out << "  leaving";
             out << "\n";
         }
     }
--- a/ctl/server_commands.h
+++ b/ctl/server_commands.h
@@ -1,5 +1,5 @@
-// The command about servers that limit their rate, asked for no requests or leave, on a platform:
-// it asks daemons at their metrics addresses.
+// The command that lists servers which limit their rate, asked for a backoff or are leaving. It
+// asks the daemons, at their metrics addresses.
 
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace ramphinge {
 
-// By daemon's address, the servers that said such a thing to it. `daemons`: "address:port", with
-// commas between. Errors: InvalidInput for addresses that can't be read; what asking a daemon fails
-// with.
-Result<nlohmann::json> statingServers(const std::string &daemons);
+// The servers that announced something of the kind, keyed by the address of the daemon that knows
+// it. `daemons`: comma-separated "address:port". Errors: InvalidInput if an address is malformed;
+// the error of the first daemon that can't be asked.
+Result<nlohmann::json> fetchServerStates(const std::string &daemons);
 
-// A line a server and daemon.
-void printStatingServers(const nlohmann::json &byDaemon, std::ostream &out);
+// Prints one line per daemon and server.
+void printServerStates(const nlohmann::json &byDaemon, std::ostream &out);
 
 } // namespace ramphinge
