--- a/ctl/quarantine_commands.cpp
+++ b/ctl/quarantine_commands.cpp
@@ -19,7 +19,7 @@
     const Result<Endpoint> endpoint = parseEndpoint(address);
     if (!endpoint.ok())
         return Error(ErrorKind::InvalidInput,
-                     "pass the address of the platform's store with --store: "
+                     "say where the platform's store is, with --store: "
                          + endpoint.error().message());
     IoContext io(1);
     platform::KvClientOptions options;
@@ -49,11 +49,11 @@
 void printQuarantinedRequests(const CrashReport &quarantined, std::ostream &out)
 {
     if (quarantined.empty())
-        out << "no request is quarantined\n";
+        out << "no request is held back\n";
     for (const auto &[fingerprint, record] : quarantined) {
         const std::time_t seen = toUnixMilliseconds(record.lastSeen) / 1000;
         out << fingerprint << "  account " << record.account << "  route " << record.route
-            << "  last " << std::put_time(std::gmtime(&seen), "%F %TZ") << "  crashed servers:";
+            << "  last " << std::put_time(std::gmtime(&seen), "%F %TZ") << "  servers ended:";
         for (const HostId &host : record.counting())
             out << ' ' << host;
         out << '\n';
--- a/ctl/server_commands.cpp
+++ b/ctl/server_commands.cpp
@@ -29,18 +29,18 @@
 
 void printLimit(const nlohmann::json &limit, std::ostream &out)
 {
-    out << "  " << limit.at("per_second").get<double>() << " requests per second"
-        << (limit.at("ended").get<bool>() ? " and rising, since its limit has ended" : "")
-        << (limit.at("shares").get<bool>() ? ", with a share for this daemon" : "") << ", stated "
+    out << "  " << limit.at("per_second").get<double>() << " a second"
+        << (limit.at("ended").get<bool>() ? " and rising, its limit has ended" : "")
+        << (limit.at("shares").get<bool>() ? ", sent to by this daemon" : "") << ", stated "
         << limit.at("stated_ms_ago").get<double>() / 1000 << " s ago";
 }
 
 void printBackoff(double leftMilliseconds, std::ostream &out)
 {
     if (leftMilliseconds > 0)
-        out << "  backing off for " << leftMilliseconds / 1000 << " s";
+        out << "  asked for no requests for " << leftMilliseconds / 1000 << " s more";
     else
-        out << "  being probed after a backoff";
+        out << "  is tried again after a backoff";
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 {
     const Result<std::vector<Endpoint>> endpoints = parseServers(daemons);
     if (!endpoints.ok() || endpoints.value().empty())
-        return Error(ErrorKind::InvalidInput, "pass the daemons' metrics addresses with --metrics");
+        return Error(ErrorKind::InvalidInput, "say which daemons to ask, with --metrics");
     nlohmann::json byDaemon = nlohmann::json::object();
     for (const Endpoint &daemon : endpoints.value()) {
         Result<nlohmann::json> states = fetchStatesFrom(daemon);
@@ -64,7 +64,7 @@
 {
     for (const auto &[daemon, states] : byDaemon.items()) {
         if (states.empty())
-            out << daemon << "  no server limits its rate, asked for a backoff or is leaving\n";
+            out << daemon << "  no server limits its rate, asked for backoff or leaves\n";
         for (const nlohmann::json &state : states) {
             out << daemon << "  " << state.at("host").get<std::string>() << "  service "
                 << state.at("service").get<std::string>();
@@ -73,7 +73,7 @@
             if (state.contains("backoff_left_ms"))
                 printBackoff(state.at("backoff_left_ms").get<double>(), out);
             if (state.value("leaving", false))
-                out << "  leaving";
+                out << "  leaves";
             out << "\n";
         }
     }
