--- a/ctl/server_commands.cpp
+++ b/ctl/server_commands.cpp
@@ -1,4 +1,4 @@
-// Servers' statements of themselves, for operators: see server_commands.h.
+// Servers' announced limits, backoffs and departures: see server_commands.h.
 
 #include "ctl/server_commands.h"
 
@@ -14,7 +14,7 @@
 constexpr int statusOk = 200;
 constexpr Duration timeout = std::chrono::seconds(3);
 
-Result<nlohmann::json> statesAt(const Endpoint &daemon)
+Result<nlohmann::json> fetchStatesFrom(const Endpoint &daemon)
 {
     BlockingHttpClient client;
     const Result<HttpResponse> response =
@@ -45,14 +45,14 @@
 
 } // namespace
 
-Result<nlohmann::json> statingServers(const std::string &daemons)
+Result<nlohmann::json> fetchServerStates(const std::string &daemons)
 {
     const Result<std::vector<Endpoint>> endpoints = parseServers(daemons);
     if (!endpoints.ok() || endpoints.value().empty())
         return Error(ErrorKind::InvalidInput, "say which daemons to ask, with --metrics");
     nlohmann::json byDaemon = nlohmann::json::object();
     for (const Endpoint &daemon : endpoints.value()) {
-        Result<nlohmann::json> states = statesAt(daemon);
+        Result<nlohmann::json> states = fetchStatesFrom(daemon);
         if (!states.ok())
             return states.error();
         byDaemon[toString(daemon)] = std::move(states.value());
@@ -60,7 +60,7 @@
     return byDaemon;
 }
 
-void printStatingServers(const nlohmann::json &byDaemon, std::ostream &out)
+void printServerStates(const nlohmann::json &byDaemon, std::ostream &out)
 {
     for (const auto &[daemon, states] : byDaemon.items()) {
         if (states.empty())
