--- a/ramphinge/settings/fleet_settings.cpp
+++ b/ramphinge/settings/fleet_settings.cpp
@@ -1,4 +1,4 @@
-// Settings on a platform: see fleet_settings.h.
+// Parses the settings of a daemon on a platform: see fleet_settings.h.
 
 #include "ramphinge/settings/fleet_settings.h"
 
--- a/ramphinge/settings/fleet_settings.h
+++ b/ramphinge/settings/fleet_settings.h
@@ -1,5 +1,5 @@
-// Settings of a daemon that runs on a platform which hands out servers and configuration:
-// addresses, limits of the machine, and the bounds that the operators have set.
+// Settings of a daemon that gets its servers and configuration from a platform: addresses, limits
+// of the machine, and the bounds that operators set.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace ramphinge {
 
-// Field by field as in schema/fleet-settings.schema.json.
+// The fields are described in schema/fleet-settings.schema.json.
 struct FleetSettings
 {
     DaemonId daemon;
@@ -21,29 +21,32 @@
     Endpoint readiness;
     std::optional<Endpoint> metrics;
     Endpoint store;
-    std::optional<Endpoint> links; // Where other daemons link up.
-    double processorShare = 1; // Part of a processor that the machine has.
-    int relaysFrom = 8; // Daemons of a zone from which it has relays.
+    std::optional<Endpoint> links; // Where other daemons connect for store updates.
+    double processorShare = 1; // CPU capacity of the machine, in processors.
+    int relaysFrom = 8; // Least number of daemons with which a zone uses relays.
     int fileDescriptors = 1024;
-    Duration stopGrace = std::chrono::seconds(8); // From SIGTERM to SIGKILL.
-    // A key that was taken away may be accepted for so long by a daemon that is cut off.
+    Duration stopGrace = std::chrono::seconds(8); // Time from SIGTERM to SIGKILL.
+    // How long a daemon that can't reach the store may accept a key that has been revoked; without
+    // limit if absent.
     std::optional<Duration> keyRevocation;
-    // By when a change of the configuration must be in force.
+    // Time from the acknowledgement of a configuration change until it must take effect.
     Duration changeInForce = std::chrono::seconds(2);
-    // By when a server that says that it leaves must get no more requests.
+    // Time from the acknowledgement of a server's leave notice until it must get no more requests.
     Duration leaveInForce = std::chrono::seconds(2);
-    // How often upstream servers renew their entries; one lapses after three.
+    // How often upstream servers renew their store entries; an entry expires after three
+    // intervals.
     Duration serverHeartbeat = std::chrono::milliseconds(1200);
-    // A daemon whose ways have been sound for so long must know every change in time again.
+    // How long after its connectivity to the store and the servers is restored a daemon must meet
+    // changeInForce and leaveInForce again.
     Duration connectivityGrace = std::chrono::seconds(3);
-    double retryRatio = 0.2;
-    double retrySlack = 10;
+    double retryRatio = 0.2; // Retries per request, over all daemons.
+    double retrySlack = 10; // Retries per window beyond the ratio, over all daemons.
     Duration retryWindow = std::chrono::seconds(10);
-    Duration loadWindow = std::chrono::seconds(5); // Over which loads of weights are limited.
+    Duration loadWindow = std::chrono::seconds(5); // Window of the limit on weight loads.
     std::string logLevel = "info";
 };
 
-// Whether the document is for this kind of daemon.
+// Whether the settings document is for a daemon that runs on a platform.
 bool isFleetSettings(const std::string &text);
 
 // Errors: InvalidInput with a line for each finding.
--- a/ramphinge/settings/schema_check.cpp
+++ b/ramphinge/settings/schema_check.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Whether lists and objects lie in each other deeper than deepestJson, wherever the text is no
-// JSON.
+// Whether arrays and objects nest deeper than maxJsonDepth; works on any text, also if it isn't
+// valid JSON.
 bool isTooDeep(const std::string &text)
 {
     std::size_t depth = 0;
@@ -25,7 +25,7 @@
             ++i;
         else if (c == '"')
             inString = !inString;
-        else if (!inString && (c == '[' || c == '{') && ++depth > deepestJson)
+        else if (!inString && (c == '[' || c == '{') && ++depth > maxJsonDepth)
             return true;
         else if (!inString && (c == ']' || c == '}') && depth > 0)
             --depth;
@@ -76,10 +76,10 @@
 
 Result<nlohmann::json> parseJson(const std::string &text)
 {
-    // To copy, write or check a document is recursive in its depth, on the 64 KB of a coroutine.
+    // Copying, writing and checking a document recurse to its depth, on a coroutine's 64 KB stack.
     if (isTooDeep(text))
         return Error(ErrorKind::InvalidInput,
-                     "this JSON nests deeper than " + std::to_string(deepestJson) + " levels");
+                     "this JSON nests deeper than " + std::to_string(maxJsonDepth) + " levels");
     try {
         return nlohmann::json::parse(text);
     } catch (const nlohmann::json::parse_error &e) {
--- a/ramphinge/settings/schema_check.h
+++ b/ramphinge/settings/schema_check.h
@@ -1,5 +1,5 @@
-// Checks JSON against one of the product's schemas. Each finding names the place by its JSON
-// pointer and says what would be right.
+// Checks JSON against one of the schemas in schema/. Each finding has the JSON pointer of the wrong
+// value and says how to correct it.
 
 #pragma once
 
@@ -25,17 +25,17 @@
 
 using Findings = std::vector<Finding>;
 
-// Every violation of `schemaText`; none if the document fits.
+// Returns every violation of `schemaText`; empty if the document conforms.
 Findings checkAgainstSchema(const nlohmann::json &document, const char *schemaText);
 
-// All findings as one InvalidInput error, a line each.
+// Returns all findings as one InvalidInput error with a line for each.
 Error toError(const Findings &findings);
 
-// Lists and objects in each other that a document may have. With nlohmann-json 3.11, to copy 64
-// objects takes 9 KB of the stack.
-constexpr std::size_t deepestJson = 64;
+// Maximum nesting depth of a document. Copying 64 nested objects takes 9 KB of stack with
+// nlohmann-json 3.11.
+constexpr std::size_t maxJsonDepth = 64;
 
-// Parses JSON text; the error names line and column, or says that it nests too deep.
+// Errors: InvalidInput with line and column, or that the document nests too deep.
 Result<nlohmann::json> parseJson(const std::string &text);
 
 } // namespace ramphinge
--- a/ramphinge/settings/settings.cpp
+++ b/ramphinge/settings/settings.cpp
@@ -1,4 +1,4 @@
-// Settings from JSON: see settings.h.
+// Parses settings from JSON: see settings.h.
 
 #include "ramphinge/settings/settings.h"
 
@@ -22,7 +22,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-// Reads endpoints, collecting what is wrong with them.
+// Reads endpoints and collects the findings about invalid ones.
 class EndpointReader
 {
 public:
@@ -99,7 +99,7 @@
     settings.timelineFile = json.value("timelineFile", "");
 }
 
-Findings checkTogether(const Settings &settings)
+Findings checkAcrossFields(const Settings &settings)
 {
     Findings findings;
     if (std::find(settings.zones.begin(), settings.zones.end(), settings.zone)
@@ -137,8 +137,8 @@
     readTimes(json.value(), settings);
     readChoices(json.value(), settings);
     Findings findings = endpoints.findings();
-    const Findings together = checkTogether(settings);
-    findings.insert(findings.end(), together.begin(), together.end());
+    const Findings acrossFields = checkAcrossFields(settings);
+    findings.insert(findings.end(), acrossFields.begin(), acrossFields.end());
     if (!findings.empty())
         return toError(findings);
     return settings;
--- a/ramphinge/settings/settings.h
+++ b/ramphinge/settings/settings.h
@@ -1,5 +1,5 @@
-// The daemon's settings file: addresses, zone, lengths of time. What operators change while it runs
-// is not here but in the configuration (see config/).
+// The daemon's settings file: addresses, zone, durations. What operators change while the daemon
+// runs is in the configuration instead (see config/).
 //
 //   Result<Settings> settings = loadSettings("/etc/ramphinge/daemon.json");
 
@@ -14,7 +14,8 @@
 
 namespace ramphinge {
 
-// What replica planning weighs more.
+// What replica planning gives more weight: time in which a replica can't serve, or healthy
+// accelerators in no serving replica.
 enum class Objective { GroupDowntime, StrandedAccelerators };
 
 enum class RoutingChoice { Affinity, RoundRobin, LeastLoaded };
@@ -25,7 +26,7 @@
     Duration oneWay;
 };
 
-// Field by field as in schema/settings.schema.json.
+// The fields are described in schema/settings.schema.json.
 struct Settings
 {
     DaemonId daemon;
@@ -35,7 +36,7 @@
     Endpoint callers;
     Endpoint administration;
     Endpoint peers;
-    Endpoint advertisedPeers; // As other daemons reach it.
+    Endpoint advertisedPeers; // Where other daemons reach `peers`.
     Endpoint platform;
     std::string sharedKey;
     std::string bootstrapOperatorKeySha256;
@@ -60,7 +61,7 @@
 // Errors: InvalidInput with a line for each finding.
 Result<Settings> parseSettings(const std::string &text);
 
-// The same from a file. Errors: NotFound.
+// Parses the settings file at `path`. Errors: NotFound, or those of parseSettings().
 Result<Settings> loadSettings(const std::string &path);
 
 // Reads a whole file. Errors: NotFound with the path.
--- a/ramphinge/settings/settings_test.cpp
+++ b/ramphinge/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the settings file: defaults, and refusals that name the place.
+// Tests of the settings file: defaults, and errors that name the wrong field.
 
 #include <nlohmann/json.hpp>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-Json good()
+Json validSettings()
 {
     return { { "daemon", "d1" },
              { "zone", "a" },
@@ -43,9 +43,9 @@
     CPPUNIT_TEST(unknownKeysAreRefused);
     CPPUNIT_TEST(wrongValuesAreNamedByPointer);
     CPPUNIT_TEST(contradictionsAreRefused);
-    CPPUNIT_TEST(brokenJsonIsRefused);
+    CPPUNIT_TEST(malformedJsonIsRefused);
     CPPUNIT_TEST(fleetSettingsAreReadFieldByField);
-    CPPUNIT_TEST(badFleetSettingsNameThePlace);
+    CPPUNIT_TEST(errorsInFleetSettingsNameTheField);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -68,7 +68,7 @@
                           { "retrySlack", 109 },
                           { "aFieldOfALaterVersion", 1 } };
         CPPUNIT_ASSERT(isFleetSettings(json.dump()));
-        CPPUNIT_ASSERT(!isFleetSettings(good().dump()));
+        CPPUNIT_ASSERT(!isFleetSettings(validSettings().dump()));
         const Result<FleetSettings> settings = parseFleetSettings(json.dump());
         CPPUNIT_ASSERT(settings.ok());
         CPPUNIT_ASSERT(settings.value().metrics == (Endpoint { "127.0.0.1", 3 }));
@@ -82,7 +82,7 @@
         CPPUNIT_ASSERT(settings.value().retryWindow == std::chrono::seconds(10));
     }
 
-    void badFleetSettingsNameThePlace()
+    void errorsInFleetSettingsNameTheField()
     {
         const Json json {
             { "fleet", true },          { "daemon", "d1" },           { "zone", "z" },
@@ -97,7 +97,7 @@
 
     void defaultsApply()
     {
-        const Result<Settings> settings = parseSettings(good().dump());
+        const Result<Settings> settings = parseSettings(validSettings().dump());
         CPPUNIT_ASSERT(settings.ok());
         CPPUNIT_ASSERT(settings.value().leaseLength == Duration(std::chrono::seconds(5)));
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 3 }, settings.value().peers.port);
@@ -105,33 +105,33 @@
 
     void unknownKeysAreRefused()
     {
-        Json json = good();
+        Json json = validSettings();
         json["leaseSecond"] = 3;
         CPPUNIT_ASSERT(contains(messageOf(json), "leaseSecond"));
     }
 
     void wrongValuesAreNamedByPointer()
     {
-        Json json = good();
+        Json json = validSettings();
         json["peers"] = "localhost:80";
         CPPUNIT_ASSERT(contains(messageOf(json), "/peers"));
-        json = good();
+        json = validSettings();
         json["leaseSeconds"] = 0;
         CPPUNIT_ASSERT(contains(messageOf(json), "/leaseSeconds"));
     }
 
     void contradictionsAreRefused()
     {
-        Json json = good();
+        Json json = validSettings();
         json["zone"] = "c";
         CPPUNIT_ASSERT(contains(messageOf(json), "/zone"));
-        json = good();
+        json = validSettings();
         json["leaseSeconds"] = 1;
         json["clockMarginSeconds"] = 0.9;
         CPPUNIT_ASSERT(contains(messageOf(json), "/clockMarginSeconds"));
     }
 
-    void brokenJsonIsRefused() { CPPUNIT_ASSERT(!parseSettings("{").ok()); }
+    void malformedJsonIsRefused() { CPPUNIT_ASSERT(!parseSettings("{").ok()); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(SettingsTest);
