--- a/ramphinge/config/accepted.cpp
+++ b/ramphinge/config/accepted.cpp
@@ -1,4 +1,4 @@
-// Numbered configurations: see accepted.h.
+// Accepted versions of the configuration: see accepted.h.
 
 #include "ramphinge/config/accepted.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-template <typename IdType> Json textsOf(const std::vector<IdType> &ids)
+template <typename IdType> Json toTexts(const std::vector<IdType> &ids)
 {
     Json texts = Json::array();
     for (const IdType &id : ids)
@@ -18,7 +18,7 @@
     return texts;
 }
 
-template <typename IdType> std::vector<IdType> idsOf(const Json &texts)
+template <typename IdType> std::vector<IdType> parseIds(const Json &texts)
 {
     std::vector<IdType> ids;
     for (const Json &text : texts)
@@ -46,8 +46,8 @@
                       { "change", config.record.change.text() },
                       { "who", config.record.who },
                       { "when", toUnixMilliseconds(config.record.when) },
-                      { "withoutZones", textsOf(config.record.withoutZones) },
-                      { "withoutDaemons", textsOf(config.record.withoutDaemons) },
+                      { "withoutZones", toTexts(config.record.withoutZones) },
+                      { "withoutDaemons", toTexts(config.record.withoutDaemons) },
                       { "diff", config.record.diff },
                       { "document", config.document } };
     return json.dump();
@@ -65,8 +65,8 @@
         config->record.change = ChangeId(fields.at("change").get<std::string>());
         config->record.who = fields.at("who").get<std::string>();
         config->record.when = fromUnixMilliseconds(fields.at("when").get<std::int64_t>());
-        config->record.withoutZones = idsOf<ZoneId>(fields.at("withoutZones"));
-        config->record.withoutDaemons = idsOf<DaemonId>(fields.at("withoutDaemons"));
+        config->record.withoutZones = parseIds<ZoneId>(fields.at("withoutZones"));
+        config->record.withoutDaemons = parseIds<DaemonId>(fields.at("withoutDaemons"));
         config->record.diff = fields.at("diff");
         config->document = fields.at("document");
         Result<Configuration> parsed = parseConfiguration(config->document);
@@ -139,7 +139,7 @@
 {
     for (const Account &account : after.accounts()) {
         if (before.account(account.account) == nullptr)
-            continue; // A new account begins wherever it is declared.
+            continue; // A new account may start in any phase.
         const Holding from = before.holdingOf(account.account);
         const Holding to = after.holdingOf(account.account);
         if (!isAllowedStep(from, to))
--- a/ramphinge/config/configuration.cpp
+++ b/ramphinge/config/configuration.cpp
@@ -18,8 +18,8 @@
     return "/" + list + "/" + std::to_string(index) + (field.empty() ? "" : "/" + field);
 }
 
-// Replaces "${name}" in every string below `value`. A string that is one whole placeholder takes
-// the parameter's own type.
+// Replaces "${name}" in every string below `value`. A string that is nothing but one placeholder
+// becomes the parameter with its JSON type.
 class Substitution
 {
 public:
@@ -70,7 +70,7 @@
     std::set<std::string> m_missing;
 };
 
-// An integer, or text that is one.
+// Parses an integer or a string that holds one; empty if it is neither.
 std::optional<std::int64_t> integerOf(const Json &value)
 {
     if (value.is_number_integer())
@@ -94,20 +94,21 @@
 
 ModelReference parseReference(const std::string &text)
 {
-    const std::size_t mark = text.find('@');
-    const std::string left = text.substr(0, mark);
-    const std::size_t colon = left.find(':');
+    const std::size_t versionMark = text.find('@');
+    const std::string nameAndAdapter = text.substr(0, versionMark);
+    const std::size_t colon = nameAndAdapter.find(':');
     ModelReference reference;
-    reference.name = left.substr(0, colon);
-    reference.adapter = colon == std::string::npos ? "" : left.substr(colon + 1);
-    reference.model =
-        ModelId(reference.name + (mark == std::string::npos ? "" : text.substr(mark)));
+    reference.name = nameAndAdapter.substr(0, colon);
+    reference.adapter = colon == std::string::npos ? "" : nameAndAdapter.substr(colon + 1);
+    reference.model = ModelId(reference.name
+                              + (versionMark == std::string::npos ? "" : text.substr(versionMark)));
     return reference;
 }
 
 } // namespace
 
-// Builds a Configuration from a document that fits the schema, collecting what else is wrong.
+// Builds a Configuration from a document that conforms to the schema, and collects findings that
+// the schema can't express: duplicate names, missing references and parameters, exceeded capacity.
 class ConfigurationReader
 {
 public:
@@ -128,17 +129,17 @@
     const Findings &findings() const { return m_findings; }
 
 private:
-    void find(const std::string &pointer, const std::string &message)
+    void addFinding(const std::string &pointer, const std::string &message)
     {
         m_findings.push_back({ pointer, message });
     }
 
     Json list(const std::string &name) const { return m_document.value(name, Json::array()); }
 
-    void noteName(const std::string &listName, std::size_t index, const std::string &name)
+    void checkNameIsUnique(const std::string &listName, std::size_t index, const std::string &name)
     {
         if (!m_names.insert(listName + "/" + name).second)
-            find(at(listName, index, "name"), "\"" + name + "\" stands twice; rename one");
+            addFinding(at(listName, index, "name"), "\"" + name + "\" stands twice; rename one");
     }
 
     void readModels()
@@ -155,7 +156,7 @@
                 spec.replicas.push_back({ ZoneId(zone), count.get<int>() });
             spec.replicaCapacity = Tokens(json.at("tokensPerSecond").get<std::int64_t>());
             spec.importance = json.value("importance", spec.importance);
-            noteName("models", i, spec.model.text());
+            checkNameIsUnique("models", i, spec.model.text());
             m_result.m_models.push_back(std::move(spec));
         }
     }
@@ -171,9 +172,9 @@
             spec.unrepeatableMethods =
                 json.value("unrepeatableMethods", std::vector<std::string> { "POST", "PATCH" });
             if (spec.pathPrefix.rfind("/v1/", 0) == 0)
-                find(at("services", i, "pathPrefix"),
-                     "/v1/ is taken by the models; choose another");
-            noteName("services", i, spec.service.text());
+                addFinding(at("services", i, "pathPrefix"),
+                           "/v1/ is taken by the models; choose another");
+            checkNameIsUnique("services", i, spec.service.text());
             m_result.m_services.push_back(std::move(spec));
         }
     }
@@ -183,7 +184,7 @@
         const Json templates = list("templates");
         for (std::size_t i = 0; i < templates.size(); ++i) {
             const auto name = templates[i].at("name").get<std::string>();
-            noteName("templates", i, name);
+            checkNameIsUnique("templates", i, name);
             m_templates[name] = templates[i];
         }
     }
@@ -193,36 +194,36 @@
         const Json accounts = list("accounts");
         for (std::size_t i = 0; i < accounts.size(); ++i) {
             const Json &json = accounts[i];
-            noteName("accounts", i, json.at("name").get<std::string>());
+            checkNameIsUnique("accounts", i, json.at("name").get<std::string>());
             const auto found = m_templates.find(json.at("template").get<std::string>());
             if (found == m_templates.end()) {
-                find(at("accounts", i, "template"), "there is no such template; declare it");
+                addFinding(at("accounts", i, "template"), "there is no such template; declare it");
                 continue;
             }
             readAccount(i, json, found->second);
         }
     }
 
-    void readAccount(std::size_t index, const Json &json, const Json &form)
+    void readAccount(std::size_t index, const Json &json, const Json &accountTemplate)
     {
-        Json parameters = form.value("parameters", Json::object());
+        Json parameters = accountTemplate.value("parameters", Json::object());
         const Json given = json.value("parameters", Json::object());
         for (const auto &[name, value] : given.items()) {
             if (!parameters.contains(name))
-                find(at("accounts", index, "parameters/" + name),
-                     "the template has no such parameter; remove it");
+                addFinding(at("accounts", index, "parameters/" + name),
+                           "the template has no such parameter; remove it");
             parameters[name] = value;
         }
         Substitution substitution(parameters);
-        const Json body = substitution.apply(form.at("body"));
+        const Json body = substitution.apply(accountTemplate.at("body"));
         for (const std::string &name : substitution.missing())
-            find(at("accounts", index, "parameters"), "give the parameter \"" + name + "\"");
+            addFinding(at("accounts", index, "parameters"), "give the parameter \"" + name + "\"");
         Account account;
         account.account = AccountId(json.at("name").get<std::string>());
         account.team = json.at("team").get<std::string>();
         account.apiKeysSha256 = json.value("apiKeysSha256", std::vector<std::string>());
         readGrants(index, body, account);
-        noteKeys(index, account);
+        indexApiKeys(index, account);
         m_result.m_accounts.push_back(std::move(account));
     }
 
@@ -238,10 +239,10 @@
             const auto share = integerOf(json.at("tokensPerSecond"));
             const auto priority = integerOf(json.value("priority", Json(0)));
             if (!share || *share < 1)
-                find(pointer,
-                     "tokensPerSecond of " + grant.alias + " must be a whole number from 1");
+                addFinding(pointer,
+                           "tokensPerSecond of " + grant.alias + " must be a whole number from 1");
             if (!priority)
-                find(pointer, "priority of " + grant.alias + " must be a whole number");
+                addFinding(pointer, "priority of " + grant.alias + " must be a whole number");
             grant.share = Tokens(share.value_or(1));
             grant.priority = static_cast<int>(priority.value_or(0));
             checkReference(pointer, grant);
@@ -250,7 +251,7 @@
         for (const Json &json : body.value("services", Json::array())) {
             const ServiceId service(json.get<std::string>());
             if (m_names.count("services/" + service.text()) == 0)
-                find(pointer, "there is no service " + service.text() + "; declare it");
+                addFinding(pointer, "there is no service " + service.text() + "; declare it");
             account.services.push_back(service);
         }
     }
@@ -261,22 +262,23 @@
             m_result.m_models.begin(), m_result.m_models.end(),
             [&grant](const ModelSpec &candidate) { return candidate.model == grant.model; });
         if (spec == m_result.m_models.end()) {
-            find(pointer, "there is no model " + grant.model.text() + "; declare it under models");
+            addFinding(pointer,
+                       "there is no model " + grant.model.text() + "; declare it under models");
             return;
         }
         const bool loaded = grant.adapter.empty()
             || std::find(spec->adapters.begin(), spec->adapters.end(), grant.adapter)
                 != spec->adapters.end();
         if (!loaded)
-            find(pointer, "model " + grant.model.text() + " has no adapter " + grant.adapter);
+            addFinding(pointer, "model " + grant.model.text() + " has no adapter " + grant.adapter);
     }
 
-    void noteKeys(std::size_t index, const Account &account)
+    void indexApiKeys(std::size_t index, const Account &account)
     {
         for (const std::string &key : account.apiKeysSha256) {
             if (!m_result.m_byKey.emplace(key, m_result.m_accounts.size()).second)
-                find(at("accounts", index, "apiKeysSha256"),
-                     "this key belongs to another account too; make a new one");
+                addFinding(at("accounts", index, "apiKeysSha256"),
+                           "this key belongs to another account too; make a new one");
         }
     }
 
@@ -298,15 +300,16 @@
             const Json &json = holdings[i];
             const AccountId account(json.at("account").get<std::string>());
             if (m_result.account(account) == nullptr)
-                find(at("holdings", i, "account"), "there is no such account; declare it");
+                addFinding(at("holdings", i, "account"), "there is no such account; declare it");
             Holding holding;
             holding.phase = phaseOf(json.at("phase").get<std::string>());
             holding.epoch = Epoch(json.at("epoch").get<std::int64_t>());
             holding.since = fromUnixMilliseconds(json.value("sinceMs", std::int64_t { 0 }));
             if (holding.phase != HoldingPhase::Here && m_result.m_otherSide.administration.empty())
-                find(at("holdings", i, "phase"), "declare the other side under otherSide first");
+                addFinding(at("holdings", i, "phase"),
+                           "declare the other side under otherSide first");
             if (!m_result.m_holdings.emplace(account, holding).second)
-                find(at("holdings", i, "account"), "it stands twice; remove one");
+                addFinding(at("holdings", i, "account"), "it stands twice; remove one");
         }
     }
 
@@ -334,12 +337,13 @@
             }
             const Tokens capacity(spec.replicaCapacity.count() * spec.totalReplicas());
             if (claimed > capacity)
-                find(at("models", i),
-                     "the accounts' shares of " + spec.model.text() + " are " + sum + " = "
-                         + std::to_string(claimed.count()) + " tokens/s, but "
-                         + std::to_string(spec.totalReplicas()) + " replicas x "
-                         + std::to_string(spec.replicaCapacity.count()) + " = "
-                         + std::to_string(capacity.count()) + "; lower shares or raise replicas");
+                addFinding(at("models", i),
+                           "the accounts' shares of " + spec.model.text() + " are " + sum + " = "
+                               + std::to_string(claimed.count()) + " tokens/s, but "
+                               + std::to_string(spec.totalReplicas()) + " replicas x "
+                               + std::to_string(spec.replicaCapacity.count()) + " = "
+                               + std::to_string(capacity.count())
+                               + "; lower shares or raise replicas");
         }
     }
 
--- a/ramphinge/config/configuration.h
+++ b/ramphinge/config/configuration.h
@@ -1,5 +1,5 @@
-// The operators' configuration, expanded: client accounts with what they are granted, models with
-// what is to run, services with their paths.
+// The operators' configuration, with templates expanded: client accounts with their grants, models
+// with the replicas to run, services with their paths.
 //
 //   Result<Configuration> config = parseConfiguration(text);
 //   const Account *account = config.value().accountByKey(sha256Hex(apiKey));
@@ -25,14 +25,14 @@
     int count = 0;
 };
 
-// A model at a version, as it is to run.
+// A version of a model and the replicas of it that are to run.
 struct ModelSpec
 {
     ModelId model; // name@version
     std::vector<std::string> adapters;
     int hostsPerReplica = 1;
     std::vector<ZoneReplicas> replicas;
-    Tokens replicaCapacity; // Per second.
+    Tokens replicaCapacity; // Tokens per second of one replica.
     int importance = 50;
 
     int totalReplicas() const;
@@ -52,8 +52,8 @@
 {
     std::string alias; // The name that callers use.
     ModelId model; // name@version: which replicas serve it.
-    std::string adapter; // Empty for the plain model.
-    Tokens share; // Tokens per second, guaranteed while asked for.
+    std::string adapter; // Empty for the base model.
+    Tokens share; // Tokens per second, guaranteed while there is demand.
     int priority = 0;
 };
 
@@ -69,11 +69,11 @@
     bool mayUse(const ServiceId &service) const;
 };
 
-// Which side of a migration holds an account's work; see docs/design/migration.md.
+// Which side of a migration serves an account; see docs/design/migration.md.
 enum class HoldingPhase {
     Here, // Its requests are served here.
-    Draining, // New requests are refused here; those in progress end here.
-    There, // The other side's.
+    Draining, // New requests are refused here; those in progress finish here.
+    There, // The other side serves its requests.
 };
 
 const char *toString(HoldingPhase phase);
@@ -81,14 +81,14 @@
 struct Holding
 {
     HoldingPhase phase = HoldingPhase::Here;
-    Epoch epoch; // Grows with each handover, over both sides.
-    WallTime since; // When this side took it over; the epoch time if it never was elsewhere.
+    Epoch epoch; // Grows with each handover; shared by both sides.
+    WallTime since; // When this side took it over; the Unix epoch if the other side never had it.
 };
 
-// The other side of a migration.
+// The other system in a migration.
 struct OtherSide
 {
-    std::string callers; // Where its callers connect, told to callers who come to the wrong side.
+    std::string callers; // Where callers connect to it; sent to callers that reach the wrong side.
     std::string
         administration; // address:port of one of its administration APIs; empty: no migration.
 };
@@ -97,7 +97,7 @@
 {
     std::string name;
     std::string keySha256;
-    std::string team; // Empty: may change everything.
+    std::string team; // Empty if the operator may change everything.
 };
 
 // Immutable once parsed.
@@ -117,14 +117,15 @@
     const ServiceSpec *serviceForPath(std::string_view path) const;
     const Operator *operatorByKey(const std::string &keySha256) const;
 
-    // Here, unless the document says otherwise.
+    // The phase is Here unless the document says otherwise.
     Holding holdingOf(const AccountId &id) const;
     const OtherSide &otherSide() const { return m_otherSide; }
 
     // The expanded form, for people and for diffs.
     nlohmann::json expanded() const;
 
-    // Everything that decides how this account is served; equal values, equal service.
+    // Everything that decides how this account is served: if the values of two configurations are
+    // equal, they serve it alike. Null if there is no such account.
     nlohmann::json expandedFor(const AccountId &id) const;
 
 private:
@@ -136,14 +137,15 @@
     std::vector<Operator> m_operators;
     std::map<AccountId, Holding> m_holdings;
     OtherSide m_otherSide;
-    std::map<std::string, std::size_t> m_byKey; // Hash of an API key to the account's index.
+    std::map<std::string, std::size_t> m_byKey; // Index in m_accounts by hash of the API key.
 };
 
-// Checks schema, references, parameters and capacity, and expands. Errors: InvalidInput with every
-// finding by JSON pointer; capacity that can't be met is one, with the arithmetic.
+// Checks schema, references, parameters and capacity, and expands templates. Errors: InvalidInput
+// with a line for each finding, by JSON pointer; shares that exceed a model's capacity are listed
+// with their sum.
 Result<Configuration> parseConfiguration(const nlohmann::json &document);
 
-// All findings at once; empty if the document is good.
+// Returns all findings of parseConfiguration(); empty if the document is valid.
 Findings validateConfiguration(const nlohmann::json &document);
 
 } // namespace ramphinge
