--- a/ramphinge/observe/crash_report.cpp
+++ b/ramphinge/observe/crash_report.cpp
@@ -1,4 +1,4 @@
-// The last log line of a process: see crash_report.h.
+// Handler of fatal signals: see crash_report.h.
 
 #include "ramphinge/observe/crash_report.h"
 
@@ -21,16 +21,16 @@
 namespace {
 
 constexpr std::array<int, 5> fatalSignals { SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT };
-// For the handler and the walk over the frames, which takes some 6 KB; a multiple of it.
+// A multiple of what the handler needs; its stack walk takes some 6 KB.
 constexpr std::size_t handlerStackBytes = 64 * 1024;
-constexpr std::size_t lineBytes = 4096; // A pipe takes so much at once.
-constexpr std::size_t mostFrames = 48;
-// For a slow reader of the log, with each of the two lines.
-constexpr int longestWaitMilliseconds = 500;
-constexpr std::size_t nameBytes = 128; // Longer names of daemons are cut off.
+constexpr std::size_t lineBytes = 4096; // PIPE_BUF: a pipe that is ready takes it in one write.
+constexpr std::size_t maxFrames = 48;
+// How long each of the two lines waits for a slow reader of the log.
+constexpr int maxWaitMilliseconds = 500;
+constexpr std::size_t nameBytes = 128; // Longer names of daemons are truncated.
 constexpr unsigned int hexDigits = 16;
 
-// Where the handler finds what it can't compute itself.
+// Data and buffers set up in advance, as a signal handler can neither look them up nor allocate.
 struct HandlerData
 {
     std::array<char, nameBytes> daemon {};
@@ -46,7 +46,7 @@
     return data;
 }
 
-// Text into a fixed buffer, with what a signal handler may call; what finds no room is left out.
+// Writes text into a fixed buffer and truncates what doesn't fit. Async-signal-safe.
 class LineWriter
 {
 public:
@@ -59,7 +59,7 @@
         return *this;
     }
 
-    // Only what needs no escape in JSON.
+    // Replaces characters that JSON would have to escape, and non-ASCII ones, by '?'.
     LineWriter &quoted(const char *text)
     {
         put('"');
@@ -132,12 +132,13 @@
 #endif
 }
 
-// The log; standard error if nobody reads the log; -1 if neither has room in time.
+// Returns standard output (the log) if it has room, else standard error; -1 if neither has room in
+// time.
 int outputWithRoom()
 {
     std::array<pollfd, 2> outputs { { { STDOUT_FILENO, POLLOUT, 0 },
                                       { STDERR_FILENO, POLLOUT, 0 } } };
-    poll(outputs.data(), outputs.size(), longestWaitMilliseconds);
+    poll(outputs.data(), outputs.size(), maxWaitMilliseconds);
     for (const pollfd &output : outputs) {
         if ((output.revents & POLLOUT) != 0)
             return output.fd;
@@ -145,18 +146,18 @@
     return -1;
 }
 
-// Left out if no output has room: a process that has crashed and waits here keeps its port, and its
-// callers with it.
+// Drops the line if no output has room: a crashed process that waited here would keep its port open
+// and its callers waiting.
 void writeLine(const char *line, std::size_t length)
 {
     const int output = outputWithRoom();
     if (output < 0)
         return;
     const ssize_t written = write(output, line, length);
-    static_cast<void>(written); // There is nobody left to tell.
+    static_cast<void>(written); // A failed write can't be reported anywhere.
 }
 
-void report(int signal, siginfo_t *info, void *context)
+void handleFatalSignal(int signal, siginfo_t *info, void *context)
 {
     HandlerData &data = handlerData();
     const ProcessMarks &marks = processMarks();
@@ -167,7 +168,7 @@
     facts.unixMilliseconds = now.tv_sec * 1000 + now.tv_nsec / 1'000'000;
     facts.signal = signal;
     facts.code = info->si_code;
-    const bool isFault = info->si_code > 0; // Of the process's own making, not sent by another.
+    const bool isFault = info->si_code > 0; // Raised by the kernel, not by kill() or raise().
     if (isFault && (signal == SIGSEGV || signal == SIGBUS))
         facts.address = reinterpret_cast<std::uintptr_t>(info->si_addr);
     facts.instruction = offsetInProgram(instructionOf(context));
@@ -176,19 +177,20 @@
     facts.lastDecision = marks.lastDecision.load(std::memory_order_relaxed);
     writeLine(data.line.data(), formatCrashLine(facts, data.line.data(), data.line.size()));
 
-    std::array<void *, mostFrames> calls {};
+    std::array<void *, maxFrames> calls {};
     const int found = backtrace(calls.data(), static_cast<int>(calls.size()));
-    std::array<std::uintptr_t, mostFrames> frames {};
+    std::array<std::uintptr_t, maxFrames> frames {};
     for (int i = 0; i < found; ++i)
         frames[i] = offsetInProgram(reinterpret_cast<std::uintptr_t>(calls[i]));
     const std::size_t length = formatCrashFrames(data.daemon.data(), frames.data(), found,
                                                  data.line.data(), data.line.size());
     writeLine(data.line.data(), length);
-    // Blocked while the handler runs; ends the process by this signal when it returns.
+    // The signal is blocked while the handler runs. On return it ends the process, as SA_RESETHAND
+    // has restored the default action.
     raise(signal);
 }
 
-int noteProgram(dl_phdr_info *object, std::size_t, void *)
+int recordProgramRange(dl_phdr_info *object, std::size_t, void *)
 {
     HandlerData &data = handlerData();
     data.programBegin = object->dlpi_addr;
@@ -234,8 +236,8 @@
     HandlerData &data = handlerData();
     const std::size_t length = std::min(daemon.text().size(), data.daemon.size() - 1);
     std::memcpy(data.daemon.data(), daemon.text().data(), length);
-    dl_iterate_phdr(noteProgram, nullptr);
-    // The first call loads the library that walks the stack, which a signal handler may not.
+    dl_iterate_phdr(recordProgramRange, nullptr);
+    // The first call of backtrace() loads a library, which a signal handler must not do.
     std::array<void *, 1> loaded {};
     backtrace(loaded.data(), static_cast<int>(loaded.size()));
     processMarks();
@@ -245,7 +247,7 @@
     stack.ss_size = data.stack.size();
     sigaltstack(&stack, nullptr);
     struct sigaction action = {};
-    action.sa_sigaction = report;
+    action.sa_sigaction = handleFatalSignal;
     action.sa_flags = SA_SIGINFO | SA_ONSTACK | SA_RESETHAND;
     sigemptyset(&action.sa_mask);
     for (const int signal : fatalSignals)
