--- a/ramphinge/observe/decision_log.cpp
+++ b/ramphinge/observe/decision_log.cpp
@@ -1,4 +1,4 @@
-// Bounded log lines for decisions: see decision_log.h.
+// Rate-limited log lines for decisions: see decision_log.h.
 
 #include "ramphinge/observe/decision_log.h"
 
@@ -9,18 +9,18 @@
 
 namespace ramphinge {
 
-bool DecisionLog::mayWrite(Kind &kind, double perSecond)
+bool DecisionLog::takeToken(Bucket &bucket, double perSecond)
 {
     const MonotonicTime now = m_clock.now();
     const double seconds =
-        kind.refilledAt == MonotonicTime() ? 1.0 : toMilliseconds(now - kind.refilledAt) / 1000;
-    kind.tokens = std::min(perSecond, kind.tokens + seconds * perSecond);
-    kind.refilledAt = now;
-    if (kind.tokens < 1) {
-        ++kind.leftOut;
+        bucket.refilledAt == MonotonicTime() ? 1.0 : toMilliseconds(now - bucket.refilledAt) / 1000;
+    bucket.tokens = std::min(perSecond, bucket.tokens + seconds * perSecond);
+    bucket.refilledAt = now;
+    if (bucket.tokens < 1) {
+        ++bucket.leftOut;
         return false;
     }
-    kind.tokens -= 1;
+    bucket.tokens -= 1;
     return true;
 }
 
@@ -30,7 +30,7 @@
     if (weight != LogWeight::Belief) {
         const double perSecond =
             weight == LogWeight::Routine ? m_options.routinePerSecond : m_options.failuresPerSecond;
-        if (!mayWrite(m_kinds[event], perSecond))
+        if (!takeToken(m_buckets[event], perSecond))
             return;
     }
     if (weight == LogWeight::Failure)
@@ -41,17 +41,17 @@
 
 std::int64_t DecisionLog::leftOut(const std::string &event) const
 {
-    const auto found = m_kinds.find(event);
-    return found == m_kinds.end() ? 0 : found->second.leftOut;
+    const auto found = m_buckets.find(event);
+    return found == m_buckets.end() ? 0 : found->second.leftOut;
 }
 
 void DecisionLog::reportLeftOut()
 {
     nlohmann::json counts = nlohmann::json::object();
-    for (auto &[event, kind] : m_kinds) {
-        if (kind.leftOut > 0)
-            counts[event] = kind.leftOut;
-        kind.leftOut = 0;
+    for (auto &[event, bucket] : m_buckets) {
+        if (bucket.leftOut > 0)
+            counts[event] = bucket.leftOut;
+        bucket.leftOut = 0;
     }
     if (!counts.empty())
         logWarning("decision", "lines_left_out", { { "count", counts } });
