--- a/ramphinge/observe/log.cpp
+++ b/ramphinge/observe/log.cpp
@@ -57,7 +57,7 @@
     return count;
 }
 
-// Writes whole lines to standard output while there is room.
+// Writes complete lines to standard output and drops those that would block.
 class StandardOutputAppender : public log4cplus::Appender
 {
 public:
@@ -75,9 +75,9 @@
     }
 
 private:
-    // Whether so many bytes can be written without waiting, which would stop the event loop until
-    // the log's reader goes on. A pipe that is ready takes a page; of longer lines, such as those
-    // with a caller's request id of 8 KB, it may take a part only.
+    // Whether `bytes` can be written without blocking, which would stall the event loop until the
+    // log's reader continues. poll() only guarantees room for PIPE_BUF; a longer line, such as one
+    // with a caller's request id of 8 KB, may fit in part only.
     static bool hasRoom(std::size_t bytes)
     {
         pollfd output { STDOUT_FILENO, POLLOUT, 0 };
@@ -85,12 +85,13 @@
             return false;
         const int capacity = bytes <= PIPE_BUF ? -1 : fcntl(STDOUT_FILENO, F_GETPIPE_SZ);
         if (capacity < 0)
-            return true; // A short line, or no pipe.
+            return true; // The line is short, or the output is no pipe.
         int unread = 0;
         ioctl(STDOUT_FILENO, FIONREAD, &unread);
-        // A page of a pipe may be half empty, and the first and the last one nearly so.
-        const auto mayBeTaken = 2 * static_cast<std::size_t>(unread) + 2 * PIPE_BUF;
-        return mayBeTaken + bytes <= static_cast<std::size_t>(capacity);
+        // Pages of a pipe may be only half full, and the first and last nearly empty, so unread
+        // bytes may occupy twice their size and two pages more.
+        const auto maxOccupied = 2 * static_cast<std::size_t>(unread) + 2 * PIPE_BUF;
+        return maxOccupied + bytes <= static_cast<std::size_t>(capacity);
     }
 
     static bool writeAll(const std::string &text)
@@ -126,7 +127,7 @@
              Json fields)
 {
     if (!initializer()) {
-        // Of a program that keeps no log, such as a test: its errors must not be lost.
+        // A program without a log, such as a test: its errors must not be lost.
         if (level >= log4cplus::ERROR_LOG_LEVEL)
             std::cerr << part << ": " << message << ' ' << fields << '\n';
         return;
--- a/ramphinge/observe/log.h
+++ b/ramphinge/observe/log.h
@@ -1,5 +1,5 @@
-// Logs as JSON lines on standard output, through log4cplus. A reader that does not keep up never
-// blocks the process: lines that find no room are dropped, and counted in the next one that does.
+// Logs as JSON lines on standard output, through log4cplus. A reader that doesn't keep up never
+// blocks the process: lines that don't fit are dropped, and later lines carry the number dropped.
 //
 //   initializeLogging("info", DaemonId("d1"));
 //   logInfo("config", "configuration in force", { { "version", 7 } });
@@ -14,15 +14,15 @@
 
 namespace ramphinge {
 
-// Call once, before the first line; without it only errors are told, on standard error. `level`:
+// Call once, before the first line; without it only errors are logged, to standard error. `level`:
 // debug, info, warn or error.
 void initializeLogging(const std::string &level, const DaemonId &daemon);
 
-// Ends the process without running destructors: log4cplus waits for threads of its own at its end,
-// and connections in progress need no more than the kernel's close.
+// Ends the process without running destructors: log4cplus would wait for its own threads, and it is
+// enough that the kernel closes open connections.
 [[noreturn]] void endProcess(int exitCode);
 
-// Lines dropped so far because nobody read them.
+// Number of lines dropped so far because standard output didn't take them.
 std::int64_t droppedLogLines();
 
 // `part` names the library. Thread-safe.
