--- a/ramphinge/observe/hybrid_clock.cpp
+++ b/ramphinge/observe/hybrid_clock.cpp
@@ -1,4 +1,4 @@
-// Hybrid logical time: see hybrid_clock.h.
+// Hybrid logical clock: see hybrid_clock.h.
 
 #include "ramphinge/observe/hybrid_clock.h"
 
--- a/ramphinge/observe/hybrid_clock.h
+++ b/ramphinge/observe/hybrid_clock.h
@@ -30,8 +30,8 @@
     // The time of a local event or of a message being sent: later than all before it.
     HybridTime tick();
 
-    // Takes note of a received message's time. A time too far ahead is not followed: one wrong
-    // clock must not move the whole fleet's.
+    // Advances to the time of a received message. A time too far ahead of the local clock is
+    // ignored, so that one wrong clock doesn't move the clocks of the whole fleet.
     void merge(HybridTime remote);
 
 private:
--- a/ramphinge/observe/metrics.cpp
+++ b/ramphinge/observe/metrics.cpp
@@ -71,9 +71,9 @@
 
 LatencySeries::Summary LatencySeries::summary() const
 {
-    // The older window while the present one has too little to say.
-    const bool young = m_previous && acc::count(m_current->accumulator) < 100;
-    const Accumulator &from = young ? m_previous->accumulator : m_current->accumulator;
+    // Falls back to the previous window while the current one has too few samples for quantiles.
+    const bool hasFewSamples = m_previous && acc::count(m_current->accumulator) < 100;
+    const Accumulator &from = hasFewSamples ? m_previous->accumulator : m_current->accumulator;
     Summary summary;
     summary.count = m_count;
     if (acc::count(from) == 0)
--- a/ramphinge/observe/metrics.h
+++ b/ramphinge/observe/metrics.h
@@ -1,4 +1,5 @@
-// Counters and latency quantiles, by Boost.Accumulators, in the text form that scrapers read.
+// Counters, gauges and latency quantiles (by Boost.Accumulators) in the text format that scrapers
+// read.
 
 #pragma once
 
@@ -16,7 +17,8 @@
 public:
     explicit MetricName(std::string name) : m_text(std::move(name)) { }
 
-    // Adds a label. The value's quotes and backslashes are escaped.
+    // Returns the name with a label added. Quotes and backslashes in the value are escaped, line
+    // breaks become spaces.
     MetricName with(const std::string &label, const std::string &value) const;
 
     const std::string &text() const { return m_text; }
@@ -26,7 +28,8 @@
     std::string m_text;
 };
 
-// Quantiles over the last one to two windows. Not thread-safe.
+// Quantiles over the current window, or the previous one while the current one has few samples. Not
+// thread-safe.
 class LatencySeries
 {
 public:
@@ -37,7 +40,7 @@
 
     struct Summary
     {
-        std::int64_t count = 0; // Ever.
+        std::int64_t count = 0; // Of all samples, not only those of the window.
         double p50 = 0; // Milliseconds.
         double p95 = 0;
         double p99 = 0;
@@ -53,8 +56,8 @@
     std::int64_t m_count = 0;
 };
 
-// Not thread-safe: lives on the request loop. The number of names is bounded; beyond it, new ones
-// are counted under one name.
+// Not thread-safe: used on the event loop only. The number of names is bounded; beyond it, counts
+// under new names go to one overflow counter, and gauges and latencies of new names are dropped.
 class Metrics
 {
 public:
--- a/ramphinge/observe/timeline.cpp
+++ b/ramphinge/observe/timeline.cpp
@@ -1,4 +1,4 @@
-// The time line: see timeline.h.
+// Timeline of events: see timeline.h.
 
 #include "ramphinge/observe/timeline.h"
 
--- a/ramphinge/observe/timeline.h
+++ b/ramphinge/observe/timeline.h
@@ -1,7 +1,8 @@
-// The time line: what happened in this daemon, in an order that fits other daemons' events.
+// Timeline of this daemon's events, ordered by hybrid time so that it can be merged with those of
+// other daemons.
 //
-// Kept in memory, newest last, in a bounded ring; the administration API hands it out, and the
-// command line tool merges those of all daemons. A file can be had besides, for tests.
+// Kept in memory, newest last, in a bounded queue; the administration API serves it, and the
+// command line tool merges those of all daemons. It can also be written to a file, for tests.
 
 #pragma once
 
@@ -26,10 +27,10 @@
     RequestReceived,
     RequestSent, // To an upstream; one for each attempt.
     RequestRetried,
-    RequestResumed, // A broken stream goes on elsewhere.
-    RequestEnded, // The caller got its whole answer.
-    RequestRefused, // Told "not run".
-    RequestUnknown, // Told "outcome unknown".
+    RequestResumed, // A broken stream continues on another upstream.
+    RequestEnded, // The caller got its complete answer.
+    RequestRefused, // The caller was told that it was not executed.
+    RequestUnknown, // The caller was told that its outcome is unknown.
     CallerGone,
     LateAnswerDropped,
     ClaimGranted,
@@ -55,7 +56,7 @@
 
 const char *toString(EventKind kind);
 
-// Empty ids do not concern the event.
+// Ids that don't concern the event are empty.
 struct TimelineEvent
 {
     EventKind kind = EventKind::Started;
@@ -68,16 +69,16 @@
     Epoch epoch;
     std::string detail;
 
-    // Filled in by the time line.
+    // Set by Timeline::record().
     HybridTime at;
     std::int64_t number = 0;
 };
 
 struct TimelineFilter
 {
-    std::string text; // Matches any id or the detail; empty is everything.
-    std::int64_t after = 0; // Event number.
-    std::size_t limit = 1000; // The newest so many.
+    std::string text; // Part of an id or the detail, or the event's name; empty matches everything.
+    std::int64_t after = 0; // Only events with a higher number.
+    std::size_t limit = 1000; // Maximum number of events; the newest are returned.
 };
 
 // Thread-safe.
