--- a/ramphinge/observe/observe_test.cpp
+++ b/ramphinge/observe/observe_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the time line's order and bounds, and of the metrics' text.
+// Tests of the timeline, metrics, decision log, log output and crash report.
 
 #include <array>
 #include <csignal>
@@ -20,15 +20,15 @@
 
 namespace {
 
-// A process that waits for so long instead of ending is ended by another signal than that of its
-// fault.
-constexpr unsigned int longestWaitSeconds = 20;
+// A child process that blocks for this long is ended by SIGALRM, so that the test sees another
+// signal than that of the fault.
+constexpr unsigned int maxWaitSeconds = 20;
 
-// Of a page: what a pipe that is ready takes without waiting.
+// A page: what a pipe that is ready takes without blocking.
 constexpr std::size_t pageBytes = 4096;
 
-// Standard output and standard error are one pipe from now on, which nobody reads.
-std::array<int, 2> replaceOutputs()
+// Redirects standard output and standard error to one pipe that nobody reads; returns its ends.
+std::array<int, 2> redirectOutputs()
 {
     std::array<int, 2> ends {};
     if (pipe(ends.data()) != 0)
@@ -38,7 +38,7 @@
     return ends;
 }
 
-void fill(int output)
+void fillPipe(int output)
 {
     const std::array<char, pageBytes> filler {};
     fcntl(output, F_SETFL, O_NONBLOCK);
@@ -48,22 +48,22 @@
 
 [[noreturn]] void faultWithFullOutputs()
 {
-    fill(replaceOutputs()[1]);
+    fillPipe(redirectOutputs()[1]);
     installCrashReport(DaemonId("d1"));
-    alarm(longestWaitSeconds);
+    alarm(maxWaitSeconds);
     raise(SIGSEGV);
     _exit(0);
 }
 
-// Ends with the count of lines that were left out.
+// The exit code is the number of dropped lines.
 [[noreturn]] void logLongLines()
 {
-    const std::array<int, 2> ends = replaceOutputs();
+    const std::array<int, 2> ends = redirectOutputs();
     initializeLogging("info", DaemonId("d1"));
-    alarm(longestWaitSeconds);
+    alarm(maxWaitSeconds);
     const nlohmann::json fields { { "request", std::string(2 * pageBytes, 'x') } };
     logWarning("test", "written, as the pipe is empty", fields);
-    fill(ends[1]);
+    fillPipe(ends[1]);
     std::array<char, pageBytes> taken {};
     if (read(ends[0], taken.data(), taken.size()) != static_cast<ssize_t>(taken.size()))
         _exit(2);
@@ -71,8 +71,8 @@
     _exit(static_cast<int>(droppedLogLines()));
 }
 
-// How a process ended that does this.
-int statusOfProcess(void (*body)())
+// Runs `body` in a child process and returns its wait status.
+int runInChild(void (*body)())
 {
     const pid_t child = fork();
     if (child == 0)
@@ -88,20 +88,20 @@
 {
     CPPUNIT_TEST_SUITE(ObserveTest);
     CPPUNIT_TEST(hybridTimeOrdersMessagesAcrossSkewedClocks);
-    CPPUNIT_TEST(farAheadClocksAreNotFollowed);
+    CPPUNIT_TEST(timesFarAheadAreIgnored);
     CPPUNIT_TEST(timelineIsBoundedAndFilters);
-    CPPUNIT_TEST(quantilesComeOutNearTheTruth);
+    CPPUNIT_TEST(quantilesAreAccurate);
     CPPUNIT_TEST(labelsAreEscaped);
-    CPPUNIT_TEST(decisionLogIsBoundedByKind);
-    CPPUNIT_TEST(lastDecisionIsMarkedAlsoIfItsLineIsLeftOut);
-    CPPUNIT_TEST(crashIsToldInJsonWhateverItsTextsHold);
-    CPPUNIT_TEST(crashLineIsCutOffAtItsBuffer);
-    CPPUNIT_TEST(crashEndsTheProcessThoughNobodyReadsItsOutputs);
-    CPPUNIT_TEST(longLineDoesNotWaitForTheLogsReader);
+    CPPUNIT_TEST(decisionLogLimitsTheRateOfEachEvent);
+    CPPUNIT_TEST(lastDecisionIsRecordedEvenIfItsLineIsLeftOut);
+    CPPUNIT_TEST(crashLinesAreValidJsonForAnyText);
+    CPPUNIT_TEST(crashLineIsTruncatedToItsBuffer);
+    CPPUNIT_TEST(crashEndsTheProcessWhenNobodyReadsItsOutputs);
+    CPPUNIT_TEST(longLineDoesNotBlockOnTheLogsReader);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void decisionLogIsBoundedByKind()
+    void decisionLogLimitsTheRateOfEachEvent()
     {
         ManualClock clock;
         DecisionLog log(clock, { 10, 20 });
@@ -120,7 +120,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t(0), log.leftOut("served"));
     }
 
-    void lastDecisionIsMarkedAlsoIfItsLineIsLeftOut()
+    void lastDecisionIsRecordedEvenIfItsLineIsLeftOut()
     {
         ManualClock clock;
         DecisionLog log(clock, { 1, 1 });
@@ -132,7 +132,7 @@
                              std::string(processMarks().lastDecision.load()));
     }
 
-    void crashIsToldInJsonWhateverItsTextsHold()
+    void crashLinesAreValidJsonForAnyText()
     {
         CrashFacts facts;
         facts.daemon = "d\"1\n";
@@ -157,11 +157,11 @@
         const std::array<std::uintptr_t, 2> frames { 0x10, 0x2f };
         const std::size_t second =
             formatCrashFrames("d1", frames.data(), frames.size(), buffer.data(), buffer.size());
-        const auto told = nlohmann::json::parse(std::string(buffer.data(), second));
-        CPPUNIT_ASSERT_EQUAL(std::string("0x2f"), told.at("frames").at(1).get<std::string>());
+        const auto framesLine = nlohmann::json::parse(std::string(buffer.data(), second));
+        CPPUNIT_ASSERT_EQUAL(std::string("0x2f"), framesLine.at("frames").at(1).get<std::string>());
     }
 
-    void crashLineIsCutOffAtItsBuffer()
+    void crashLineIsTruncatedToItsBuffer()
     {
         std::array<char, 16> buffer {};
         buffer.back() = '!';
@@ -169,26 +169,24 @@
         CPPUNIT_ASSERT_EQUAL('!', buffer.back());
     }
 
-    // What users would see: a daemon that has crashed stays, with its port open and its callers
-    // waiting. The order of events: its log and its standard error are one pipe, whose reader has
-    // stopped; it is full; a fatal signal comes; the report waits for room. The cause: only the log
-    // was asked for room before it was written to. The evidence: the process was ended by the alarm
-    // here, not by its fault.
-    void crashEndsTheProcessThoughNobodyReadsItsOutputs()
+    // Guards against a crashed daemon that doesn't exit and keeps its port open and its callers
+    // waiting: if standard output and standard error are one full pipe whose reader has stopped,
+    // and the crash report checks only standard output for room, its write to standard error
+    // blocks. The process is then ended by the alarm, not by its fault.
+    void crashEndsTheProcessWhenNobodyReadsItsOutputs()
     {
-        const int status = statusOfProcess(faultWithFullOutputs);
+        const int status = runInChild(faultWithFullOutputs);
         CPPUNIT_ASSERT(WIFSIGNALED(status));
         CPPUNIT_ASSERT_EQUAL(SIGSEGV, WTERMSIG(status));
     }
 
-    // What users would see: a daemon answers nobody any more, with no sign of a fault. The order of
-    // events: the log's reader falls behind, until one page of the pipe is free; a line comes that
-    // is longer, as with a request's id of several kilobytes; the event loop waits in its write.
-    // The cause: a pipe that is ready was taken to hold any line. The evidence: the process that
-    // logs was ended by the alarm here.
-    void longLineDoesNotWaitForTheLogsReader()
+    // Guards against a daemon that stops answering without a sign of a fault: if the log's reader
+    // falls behind until one page of the pipe is free, a longer line (as with a request id of
+    // several kilobytes) blocks the event loop in its write if poll() alone decides that there is
+    // room. The process is then ended by the alarm.
+    void longLineDoesNotBlockOnTheLogsReader()
     {
-        const int status = statusOfProcess(logLongLines);
+        const int status = runInChild(logLongLines);
         CPPUNIT_ASSERT(WIFEXITED(status));
         CPPUNIT_ASSERT_EQUAL(1, WEXITSTATUS(status));
     }
@@ -205,7 +203,7 @@
         CPPUNIT_ASSERT(sent < b.tick());
     }
 
-    void farAheadClocksAreNotFollowed()
+    void timesFarAheadAreIgnored()
     {
         ManualClock clock;
         HybridClock own(clock);
@@ -229,7 +227,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, timeline.events({ "", 28, 100 }).size());
     }
 
-    void quantilesComeOutNearTheTruth()
+    void quantilesAreAccurate()
     {
         ManualClock clock;
         LatencySeries series;
