--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -151,7 +151,7 @@
         return storeSyncOptions(bounds);
     }
 
-    static RelayCandidate registrationOf(const FleetSettings &settings)
+    static DaemonRegistration registrationOf(const FleetSettings &settings)
     {
         return { settings.daemon, settings.zone, settings.links.value_or(Endpoint()),
                  settings.processorShare };
@@ -169,7 +169,7 @@
     {
         KeyHolderOptions options;
         options.key = FleetKeys::daemon(settings.daemon);
-        options.value = serializeCandidate(registrationOf(settings));
+        options.value = serializeRegistration(registrationOf(settings));
         options.lifetime = registrationLeaseLifetime;
         options.renewal = registrationLeaseLifetime / 3;
         options.replaceExisting = true;
@@ -301,7 +301,7 @@
         }
         m_dispatcher.serversChanged(m_fleet.servers);
         m_quarantine.takeOver();
-        const std::vector<RelayCandidate> daemons = m_fleet.daemons();
+        const std::vector<DaemonRegistration> daemons = m_fleet.daemons();
         m_relays.setDaemons(daemons);
         updateLimitSharers(daemons);
         if (!m_dispatch.catalog)
@@ -314,10 +314,10 @@
         applyCallerLimits(m_dispatch.catalog->limits());
     }
 
-    void updateLimitSharers(const std::vector<RelayCandidate> &daemons)
+    void updateLimitSharers(const std::vector<DaemonRegistration> &daemons)
     {
         std::vector<LimitSharer> sharers;
-        for (const RelayCandidate &daemon : daemons)
+        for (const DaemonRegistration &daemon : daemons)
             sharers.push_back({ daemon.daemon, daemon.zone });
         m_dispatch.gate.setDaemons({ m_settings.daemon, m_settings.zone }, sharers, m_clock.now());
     }
--- a/ramphinge/fleet_control/fleet_state.cpp
+++ b/ramphinge/fleet_control/fleet_state.cpp
@@ -36,14 +36,14 @@
     return Done {};
 }
 
-std::vector<RelayCandidate> FleetState::daemons() const
+std::vector<DaemonRegistration> FleetState::daemons() const
 {
     const std::size_t prefix = FleetKeys::daemonPrefix().text().size();
-    std::vector<RelayCandidate> daemons;
+    std::vector<DaemonRegistration> daemons;
     for (auto entry = ownKeys.lower_bound(FleetKeys::daemonPrefix());
          entry != ownKeys.end() && isDaemonKey(entry->first); ++entry)
         daemons.push_back(
-            parseCandidate(DaemonId(entry->first.text().substr(prefix)), entry->second.value));
+            parseRegistration(DaemonId(entry->first.text().substr(prefix)), entry->second.value));
     return daemons;
 }
 
--- a/ramphinge/fleet_control/fleet_state.h
+++ b/ramphinge/fleet_control/fleet_state.h
@@ -62,7 +62,7 @@
     // plan stays.
     Status takePlan(const StoredValue &stored);
 
-    std::vector<RelayCandidate> daemons() const;
+    std::vector<DaemonRegistration> daemons() const;
     int daemonCount() const;
     int daemonsInZone(const ZoneId &zone) const;
 };
--- a/ramphinge/relay/relay_choice.cpp
+++ b/ramphinge/relay/relay_choice.cpp
@@ -10,7 +10,7 @@
 
 namespace ramphinge {
 
-std::string serializeCandidate(const RelayCandidate &record)
+std::string serializeRegistration(const DaemonRegistration &record)
 {
     std::ostringstream text;
     text << record.zone.text();
@@ -19,12 +19,12 @@
     return text.str();
 }
 
-RelayCandidate parseCandidate(const DaemonId &daemon, const std::string &text)
+DaemonRegistration parseRegistration(const DaemonId &daemon, const std::string &text)
 {
     std::istringstream fields(text);
     std::string zone;
     std::string links;
-    RelayCandidate record;
+    DaemonRegistration record;
     record.daemon = daemon;
     fields >> zone >> links;
     record.zone = ZoneId(zone);
@@ -35,18 +35,18 @@
     return record;
 }
 
-int countInZone(const std::vector<RelayCandidate> &daemons, const ZoneId &zone)
+int countInZone(const std::vector<DaemonRegistration> &daemons, const ZoneId &zone)
 {
     return static_cast<int>(
         std::count_if(daemons.begin(), daemons.end(),
-                      [&zone](const RelayCandidate &daemon) { return daemon.zone == zone; }));
+                      [&zone](const DaemonRegistration &daemon) { return daemon.zone == zone; }));
 }
 
-RelayChoice chooseRelays(const ZoneId &zone, const std::vector<RelayCandidate> &daemons,
+RelayChoice chooseRelays(const ZoneId &zone, const std::vector<DaemonRegistration> &daemons,
                          const RelayChoiceOptions &options)
 {
-    std::vector<RelayCandidate> candidates;
-    for (const RelayCandidate &daemon : daemons) {
+    std::vector<DaemonRegistration> candidates;
+    for (const DaemonRegistration &daemon : daemons) {
         if (daemon.zone == zone && daemon.links.port != 0)
             candidates.push_back(daemon);
     }
@@ -56,11 +56,13 @@
     const int relayCount =
         std::max(options.relaysPerZone,
                  (inZone + options.maxDaemonsPerRelay - 1) / options.maxDaemonsPerRelay);
-    const auto rank = [](const RelayCandidate &daemon) {
+    const auto rank = [](const DaemonRegistration &daemon) {
         return std::make_tuple(-daemon.processor, stableHash(daemon.daemon.text()), daemon.daemon);
     };
     std::sort(candidates.begin(), candidates.end(),
-              [&](const RelayCandidate &a, const RelayCandidate &b) { return rank(a) < rank(b); });
+              [&](const DaemonRegistration &a, const DaemonRegistration &b) {
+                  return rank(a) < rank(b);
+              });
     const auto end = static_cast<std::ptrdiff_t>(candidates.size());
     const std::ptrdiff_t relays = std::min<std::ptrdiff_t>(end, relayCount);
     const std::ptrdiff_t reserves = std::min<std::ptrdiff_t>(end, relays + options.reservesPerZone);
@@ -68,13 +70,15 @@
              { candidates.begin() + relays, candidates.begin() + reserves } };
 }
 
-std::vector<RelayCandidate> orderRelays(const DaemonId &daemon, std::vector<RelayCandidate> relays)
+std::vector<DaemonRegistration> orderRelays(const DaemonId &daemon,
+                                            std::vector<DaemonRegistration> relays)
 {
     const std::uint64_t key = stableHash(daemon.text());
-    std::sort(
-        relays.begin(), relays.end(), [key](const RelayCandidate &a, const RelayCandidate &b) {
-            return rendezvousScore(key, a.daemon.text()) > rendezvousScore(key, b.daemon.text());
-        });
+    std::sort(relays.begin(), relays.end(),
+              [key](const DaemonRegistration &a, const DaemonRegistration &b) {
+                  return rendezvousScore(key, a.daemon.text())
+                      > rendezvousScore(key, b.daemon.text());
+              });
     return relays;
 }
 
--- a/ramphinge/relay/relay_choice.h
+++ b/ramphinge/relay/relay_choice.h
@@ -16,7 +16,7 @@
 using ProcessorShare = double;
 
 // The contents of a daemon's registration.
-struct RelayCandidate
+struct DaemonRegistration
 {
     DaemonId daemon;
     ZoneId zone;
@@ -26,13 +26,13 @@
     ProcessorShare processor = 0;
 };
 
-std::string serializeCandidate(const RelayCandidate &record);
+std::string serializeRegistration(const DaemonRegistration &record);
 
 // Fields that can't be parsed keep their defaults. The zone comes first, so that a registration
 // that holds only a zone is valid.
-RelayCandidate parseCandidate(const DaemonId &daemon, const std::string &text);
+DaemonRegistration parseRegistration(const DaemonId &daemon, const std::string &text);
 
-int countInZone(const std::vector<RelayCandidate> &daemons, const ZoneId &zone);
+int countInZone(const std::vector<DaemonRegistration> &daemons, const ZoneId &zone);
 
 struct RelayChoiceOptions
 {
@@ -52,17 +52,18 @@
 
 struct RelayChoice
 {
-    std::vector<RelayCandidate> relays; // Empty in a small zone.
-    std::vector<RelayCandidate> reserves; // The best first.
+    std::vector<DaemonRegistration> relays; // Empty in a small zone.
+    std::vector<DaemonRegistration> reserves; // The best first.
 };
 
 // Prefers daemons with the largest processor share, since a relay forwards all updates to some
 // thirty others.
-RelayChoice chooseRelays(const ZoneId &zone, const std::vector<RelayCandidate> &daemons,
+RelayChoice chooseRelays(const ZoneId &zone, const std::vector<DaemonRegistration> &daemons,
                          const RelayChoiceOptions &options);
 
 // `relays` in the order in which `daemon` tries them. By rendezvous hashing each relay comes first
 // for about the same number of daemons.
-std::vector<RelayCandidate> orderRelays(const DaemonId &daemon, std::vector<RelayCandidate> relays);
+std::vector<DaemonRegistration> orderRelays(const DaemonId &daemon,
+                                            std::vector<DaemonRegistration> relays);
 
 } // namespace ramphinge
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -103,12 +103,12 @@
         m_network->close();
 }
 
-void RelayNode::setDaemons(const std::vector<RelayCandidate> &daemons)
+void RelayNode::setDaemons(const std::vector<DaemonRegistration> &daemons)
 {
     const DaemonId &self = m_options.self.daemon;
     RelayChoice choice = chooseRelays(m_options.self.zone, daemons, m_options.choice);
-    const auto containsSelf = [&self](const std::vector<RelayCandidate> &list) {
-        return std::any_of(list.begin(), list.end(), [&self](const RelayCandidate &candidate) {
+    const auto containsSelf = [&self](const std::vector<DaemonRegistration> &list) {
+        return std::any_of(list.begin(), list.end(), [&self](const DaemonRegistration &candidate) {
             return candidate.daemon == self;
         });
     };
@@ -122,28 +122,28 @@
                       { "daemons", daemons.size() } });
     m_role = role;
     m_relays = orderRelays(self, std::move(choice.relays));
-    for (RelayCandidate &reserve : orderRelays(self, std::move(choice.reserves)))
+    for (DaemonRegistration &reserve : orderRelays(self, std::move(choice.reserves)))
         m_relays.push_back(std::move(reserve));
     findOtherDaemons(daemons);
     m_updateFeed.setServing(isRelay());
     openLinks();
 }
 
-void RelayNode::findOtherDaemons(const std::vector<RelayCandidate> &daemons)
+void RelayNode::findOtherDaemons(const std::vector<DaemonRegistration> &daemons)
 {
-    std::map<ZoneId, std::vector<RelayCandidate>> relays;
-    for (const RelayCandidate &daemon : daemons)
+    std::map<ZoneId, std::vector<DaemonRegistration>> relays;
+    for (const DaemonRegistration &daemon : daemons)
         relays[daemon.zone];
     for (auto &[zone, chosen] : relays)
         chosen = chooseRelays(zone, daemons, m_options.choice).relays;
-    const auto isOther = [this](const RelayCandidate &daemon) {
+    const auto isOther = [this](const DaemonRegistration &daemon) {
         return daemon.daemon != m_options.self.daemon && daemon.links.port != 0;
     };
     m_otherRelays.clear();
     for (const auto &[zone, chosen] : relays)
         std::copy_if(chosen.begin(), chosen.end(), std::back_inserter(m_otherRelays), isOther);
     m_daemonsWithoutRelay.clear();
-    for (const RelayCandidate &daemon : daemons) {
+    for (const DaemonRegistration &daemon : daemons) {
         if (relays[daemon.zone].empty() && isOther(daemon))
             m_daemonsWithoutRelay.push_back(daemon);
     }
@@ -181,7 +181,7 @@
 {
     const MonotonicTime now = m_clock.now();
     const LoadReportMessage group { true, m_loads.groupSum(own, now) };
-    for (const RelayCandidate &relay : m_otherRelays)
+    for (const DaemonRegistration &relay : m_otherRelays)
         sendOrConnect(relay, group);
     const TotalLoadMessage total { m_loads.totalSum(own, now) };
     for (const DaemonId &follower : m_loads.followers(now))
@@ -197,7 +197,7 @@
     m_lastReportedLoad = std::move(own);
 }
 
-void RelayNode::sendOrConnect(const RelayCandidate &daemon, const PeerMessage &message)
+void RelayNode::sendOrConnect(const DaemonRegistration &daemon, const PeerMessage &message)
 {
     if (!m_network->send(daemon.daemon, message))
         m_network->connect(daemon.daemon, daemon.links);
@@ -222,8 +222,9 @@
         return;
     }
     std::set<DaemonId> sentTo;
-    for (const std::vector<RelayCandidate> *daemons : { &m_otherRelays, &m_daemonsWithoutRelay }) {
-        for (const RelayCandidate &daemon : *daemons) {
+    for (const std::vector<DaemonRegistration> *daemons :
+         { &m_otherRelays, &m_daemonsWithoutRelay }) {
+        for (const DaemonRegistration &daemon : *daemons) {
             sendOrConnect(daemon, update);
             sentTo.insert(daemon.daemon);
         }
@@ -240,7 +241,7 @@
 {
     if (!m_currentRelay.empty() && m_network->send(m_currentRelay, update))
         return;
-    if (const RelayCandidate *relay = firstAvailableRelay(m_clock.now(), false))
+    if (const DaemonRegistration *relay = firstAvailableRelay(m_clock.now(), false))
         sendOrConnect(*relay, update);
 }
 
@@ -258,9 +259,9 @@
 
 // A daemon that has lost the store keeps sending requests to a relay that has lost it too: the
 // relay tries the store more often, and responds as soon as it is reachable again.
-const RelayCandidate *RelayNode::firstAvailableRelay(MonotonicTime now, bool storeLost) const
+const DaemonRegistration *RelayNode::firstAvailableRelay(MonotonicTime now, bool storeLost) const
 {
-    for (const RelayCandidate &relay : m_relays) {
+    for (const DaemonRegistration &relay : m_relays) {
         const auto backoff = m_backoffs.find(relay.daemon);
         const bool isBackedOff = backoff != m_backoffs.end() && now < backoff->second.until
             && !(storeLost && backoff->second.storeLost);
@@ -279,7 +280,7 @@
                 { { "relay", relay.text() }, { "why", reason } });
 }
 
-bool RelayNode::waitForLink(const RelayCandidate &relay, Yield yield)
+bool RelayNode::waitForLink(const DaemonRegistration &relay, Yield yield)
 {
     if (!m_network->linked(relay.daemon)) {
         const MonotonicTime now = m_clock.now();
@@ -300,11 +301,11 @@
 
 Result<RelayedNews> RelayNode::next(Revision after, Duration wait, bool storeLost, Yield yield)
 {
-    const RelayCandidate *first =
+    const DaemonRegistration *first =
         m_network == nullptr ? nullptr : firstAvailableRelay(m_clock.now(), storeLost);
     if (first == nullptr || isRelay())
         return Error(ErrorKind::Unavailable, "no relay is available");
-    const RelayCandidate relay = *first; // The list may change while this waits.
+    const DaemonRegistration relay = *first; // The list may change while this waits.
     if (!waitForLink(relay, yield))
         return Error(ErrorKind::Unavailable, "no link to the relay yet");
     const MonotonicTime requestedAt = m_clock.now();
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -29,7 +29,7 @@
 
 struct RelayNodeOptions
 {
-    RelayCandidate self;
+    DaemonRegistration self;
     RelayChoiceOptions choice;
     UpdateFeedOptions feed;
     ChangeLogOptions log;
@@ -91,7 +91,7 @@
     void setKey(const std::string &key);
 
     // Sets the registered daemons, including this one.
-    void setDaemons(const std::vector<RelayCandidate> &daemons);
+    void setDaemons(const std::vector<DaemonRegistration> &daemons);
 
     // Whether this daemon serves its view to others; it then reads the store itself.
     bool isRelay() const { return m_role == Role::Relay || isActiveReserve(); }
@@ -126,15 +126,15 @@
     void sendServerUpdate();
     void sendToRelay(const ServerUpdateMessage &update);
     // If there is no link, drops the message and starts to connect.
-    void sendOrConnect(const RelayCandidate &daemon, const PeerMessage &message);
+    void sendOrConnect(const DaemonRegistration &daemon, const PeerMessage &message);
     void sendDueResponses();
     bool isActiveReserve() const;
-    void findOtherDaemons(const std::vector<RelayCandidate> &daemons);
+    void findOtherDaemons(const std::vector<DaemonRegistration> &daemons);
     // The first relay that is not in backoff; null if there is none. With `storeLost`, a relay in
     // backoff because it lost the store counts as available.
-    const RelayCandidate *firstAvailableRelay(MonotonicTime now, bool storeLost) const;
+    const DaemonRegistration *firstAvailableRelay(MonotonicTime now, bool storeLost) const;
     // Connects if needed, and waits up to linkWait. False if there is no link then.
-    bool waitForLink(const RelayCandidate &relay, Yield yield);
+    bool waitForLink(const DaemonRegistration &relay, Yield yield);
     Result<RelayedNews> toRelayedUpdate(const DaemonId &relay, const StoreUpdateMessage &update,
                                         MonotonicTime requestedAt);
     void backOff(const DaemonId &relay, const char *reason, Duration duration,
@@ -149,11 +149,11 @@
     std::string m_key; // Of the links; empty until it is known.
     std::unique_ptr<PeerNetwork> m_network; // Null until the port is opened.
     // The zone's relays in the order in which this daemon tries them, then the reserves.
-    std::vector<RelayCandidate> m_relays;
+    std::vector<DaemonRegistration> m_relays;
     Role m_role = Role::Follower;
-    std::vector<RelayCandidate> m_otherRelays; // Of all zones, except this daemon.
+    std::vector<DaemonRegistration> m_otherRelays; // Of all zones, except this daemon.
     // The daemons of zones without relays, except this daemon.
-    std::vector<RelayCandidate> m_daemonsWithoutRelay;
+    std::vector<DaemonRegistration> m_daemonsWithoutRelay;
     DaemonId m_currentRelay; // The relay that sent the last update; empty before.
     LoadAggregator m_loads;
     SharedLoad m_lastReportedLoad; // This daemon's own load, as last sent to its relay.
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -243,7 +243,7 @@
             LinkedPair pair(io);
             // The relay is a third daemon, which is unreachable. Of the other two, the one with the
             // larger processor share is the reserve.
-            const RelayCandidate unreachable {
+            const DaemonRegistration unreachable {
                 DaemonId("unreachable"), ZoneId("z"), { "127.0.0.1", 1 }, 9
             };
             RelayNodeOptions options = LinkedPair::optionsOf("relay", 1);
--- a/ramphinge/relay/relay_test.cpp
+++ b/ramphinge/relay/relay_test.cpp
@@ -104,8 +104,8 @@
     return { CorrelationId(id), Revision(after), wait, storeLost };
 }
 
-RelayCandidate daemon(const std::string &name, const std::string &zone, double processor,
-                      std::uint16_t port = 1)
+DaemonRegistration daemon(const std::string &name, const std::string &zone, double processor,
+                          std::uint16_t port = 1)
 {
     return { DaemonId(name), ZoneId(zone), { "10.0.0.1", port }, processor };
 }
@@ -297,14 +297,14 @@
 
     void daemonsWithTheLargestProcessorShareAreRelays()
     {
-        std::vector<RelayCandidate> all;
+        std::vector<DaemonRegistration> all;
         for (int i = 0; i < 20; ++i)
             all.push_back(daemon("weak" + std::to_string(i), "z", 0.12));
         all.push_back(daemon("strong", "z", 0.5));
         all.push_back(daemon("stronger", "z", 1));
         all.push_back(daemon("strongest without links", "z", 2, 0));
         all.push_back(daemon("elsewhere", "y", 2));
-        const std::vector<RelayCandidate> relays = chooseRelays(ZoneId("z"), all, {}).relays;
+        const std::vector<DaemonRegistration> relays = chooseRelays(ZoneId("z"), all, {}).relays;
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), relays.size());
         CPPUNIT_ASSERT_EQUAL(DaemonId("stronger"), relays[0].daemon);
         CPPUNIT_ASSERT_EQUAL(DaemonId("strong"), relays[1].daemon);
@@ -317,7 +317,7 @@
 
     void smallZonesHaveNoRelays()
     {
-        std::vector<RelayCandidate> all;
+        std::vector<DaemonRegistration> all;
         for (int i = 0; i < 7; ++i)
             all.push_back(daemon("d" + std::to_string(i), "z", 1));
         CPPUNIT_ASSERT(chooseRelays(ZoneId("z"), all, {}).relays.empty());
@@ -327,7 +327,7 @@
 
     void largeZonesHaveMoreRelays()
     {
-        std::vector<RelayCandidate> all;
+        std::vector<DaemonRegistration> all;
         for (int i = 0; i < 100; ++i)
             all.push_back(daemon("d" + std::to_string(i), "z", 1));
         const std::size_t relays = chooseRelays(ZoneId("z"), all, {}).relays.size();
@@ -340,7 +340,7 @@
 
     void relaysShareTheRequests()
     {
-        const std::vector<RelayCandidate> relays { daemon("r1", "z", 1), daemon("r2", "z", 1) };
+        const std::vector<DaemonRegistration> relays { daemon("r1", "z", 1), daemon("r2", "z", 1) };
         int first = 0;
         for (int i = 0; i < 100; ++i)
             first +=
@@ -350,12 +350,13 @@
 
     void registrationsRoundTrip()
     {
-        const RelayCandidate record = daemon("d", "zone-1", 0.12, 7680);
-        const RelayCandidate read = parseCandidate(DaemonId("d"), serializeCandidate(record));
+        const DaemonRegistration record = daemon("d", "zone-1", 0.12, 7680);
+        const DaemonRegistration read =
+            parseRegistration(DaemonId("d"), serializeRegistration(record));
         CPPUNIT_ASSERT(read.zone == record.zone && read.links == record.links);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.12, read.processor, 1e-9);
         for (const char *text : { "zone-1", "zone-1 nowhere", "zone-1 10.0.0.1:x y" }) {
-            const RelayCandidate other = parseCandidate(DaemonId("d"), text);
+            const DaemonRegistration other = parseRegistration(DaemonId("d"), text);
             CPPUNIT_ASSERT_EQUAL(ZoneId("zone-1"), other.zone);
             CPPUNIT_ASSERT_EQUAL(std::uint16_t(0), other.links.port);
         }
