--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -161,7 +161,7 @@
     {
         RelayNodeOptions options;
         options.self = registrationOf(settings);
-        options.choice.fewestDaemons = settings.relaysFrom;
+        options.choice.minDaemons = settings.relaysFrom;
         return options;
     }
 
--- a/ramphinge/relay/relay_choice.cpp
+++ b/ramphinge/relay/relay_choice.cpp
@@ -51,7 +51,7 @@
             candidates.push_back(daemon);
     }
     const int inZone = countInZone(daemons, zone);
-    if (inZone < options.fewestDaemons)
+    if (inZone < options.minDaemons)
         return {};
     const int relayCount =
         std::max(options.relaysPerZone,
--- a/ramphinge/relay/relay_choice.h
+++ b/ramphinge/relay/relay_choice.h
@@ -44,7 +44,7 @@
     // among them; without reserves all daemons of their zone would then read the store.
     int reservesPerZone = 2;
     // In a smaller zone relays save few calls to the store, and each hop makes updates older.
-    int fewestDaemons = 8;
+    int minDaemons = 8;
     // A larger zone gets more relays. While replicas form, each daemon receives a few kilobytes per
     // server, and all followers of a relay share the link of its machine.
     int maxDaemonsPerRelay = 30;
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -18,13 +18,12 @@
 class LinkedPair
 {
 public:
-    explicit LinkedPair(IoContext &io, int fewestDaemons = 2)
-        : log(clock, {}), relay(io, clock, optionsOf("relay", 1, fewestDaemons), log, metrics),
-          follower(io, clock, optionsOf("follower", 0.1, fewestDaemons), log, metrics)
+    explicit LinkedPair(IoContext &io, int minDaemons = 2)
+        : log(clock, {}), relay(io, clock, optionsOf("relay", 1, minDaemons), log, metrics),
+          follower(io, clock, optionsOf("follower", 0.1, minDaemons), log, metrics)
     { }
 
-    static RelayNodeOptions optionsOf(const std::string &name, double processor,
-                                      int fewestDaemons = 2)
+    static RelayNodeOptions optionsOf(const std::string &name, double processor, int minDaemons = 2)
     {
         RelayNodeOptions options;
         options.self = { DaemonId(name),
@@ -32,7 +31,7 @@
                          { "127.0.0.1",
                            static_cast<std::uint16_t>(name == "relay" ? port : port + 1) },
                          processor };
-        options.choice = { 1, 0, fewestDaemons };
+        options.choice = { 1, 0, minDaemons };
         return options;
     }
 
