--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -90,8 +90,9 @@
         m_dispatch.startedAt = m_clock.now();
         m_relays.shareLoads([this] { return ownLoad(); },
                             [this](const SharedLoad &others) { applyOthersLoad(others); });
-        m_relays.shareServerNews([this] { return m_dispatch.gate.takeNews(m_clock.now()); },
-                                 [this](const ServerNews &update) { applyServerUpdate(update); });
+        m_relays.shareServerUpdates(
+            [this] { return m_dispatch.gate.takeNews(m_clock.now()); },
+            [this](const ServerNews &update) { applyServerUpdate(update); });
         // Posted, since the callback runs while a request chooses its server.
         m_upstreams.onLeaving([this] { boost::asio::post(m_io, [this] { onFleetChange(); }); });
         m_sync.useRelays(m_relays, m_relays, [this] { return m_relays.isRelay(); });
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -76,8 +76,8 @@
     // `takeUpdate` returns what servers have newly said of themselves; `onUpdate` receives the
     // updates of other daemons. Updates are sent with each round of runLoads(), by way of the
     // relays; daemons of zones without relays send them to each other.
-    void shareServerNews(std::function<ServerNews()> takeUpdate,
-                         std::function<void(const ServerNews &)> onUpdate);
+    void shareServerUpdates(std::function<ServerNews()> takeUpdate,
+                            std::function<void(const ServerNews &)> onUpdate);
     // Calls exchangeLoads() each loadInterval, until stop().
     void runLoads(Yield yield);
     // Sends server updates and loads once.
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -290,10 +290,10 @@
         };
         ServerNews receivedByFollower;
         ServerNews receivedByRelay;
-        pair.relay.shareServerNews([&] { return updateOf("of relay"); },
-                                   [&](const auto &update) { receivedByRelay = update; });
-        pair.follower.shareServerNews([&] { return updateOf("of follower"); },
-                                      [&](const auto &update) { receivedByFollower = update; });
+        pair.relay.shareServerUpdates([&] { return updateOf("of relay"); },
+                                      [&](const auto &update) { receivedByRelay = update; });
+        pair.follower.shareServerUpdates([&] { return updateOf("of follower"); },
+                                         [&](const auto &update) { receivedByFollower = update; });
         for (int i = 0; i < 400 && (receivedByFollower.empty() || receivedByRelay.empty()); ++i) {
             pair.follower.exchangeLoads();
             pair.relay.exchangeLoads();
