--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -91,8 +91,8 @@
         m_relays.shareLoads([this] { return ownLoad(); },
                             [this](const SharedLoad &others) { applyOthersLoad(others); });
         m_relays.shareServerUpdates(
-            [this] { return m_dispatch.gate.takeNews(m_clock.now()); },
-            [this](const ServerNews &update) { applyServerUpdate(update); });
+            [this] { return m_dispatch.gate.takeUpdate(m_clock.now()); },
+            [this](const ServerUpdate &update) { applyServerUpdate(update); });
         // Posted, since the callback runs while a request chooses its server.
         m_upstreams.onLeaving([this] { boost::asio::post(m_io, [this] { onFleetChange(); }); });
         m_sync.useRelays(m_relays, m_relays, [this] { return m_relays.isRelay(); });
@@ -250,12 +250,12 @@
         m_dispatch.demand.setOthers(others.work, now);
     }
 
-    void applyServerUpdate(const ServerNews &update)
+    void applyServerUpdate(const ServerUpdate &update)
     {
         applyServerLimitUpdates(update.limits);
         bool changed = false;
         for (const HostId &host : update.leaving) {
-            if (!m_dispatch.gate.hearLeaving(host))
+            if (!m_dispatch.gate.noteLeaving(host))
                 continue;
             changed = true;
             m_log.write("server_leaving", LogWeight::Belief,
@@ -265,12 +265,12 @@
             onFleetChange();
     }
 
-    void applyServerLimitUpdates(const std::vector<ServerLimitNews> &updates)
+    void applyServerLimitUpdates(const std::vector<ServerLimitUpdate> &updates)
     {
-        for (const ServerLimitNews &limit : updates) {
+        for (const ServerLimitUpdate &limit : updates) {
             const bool isInFleet = m_fleet.servers.find(limit.server.host) != nullptr;
             const LimitChange change =
-                m_dispatch.gate.limits().hear(limit, m_clock.now(), isInFleet);
+                m_dispatch.gate.limits().applyUpdate(limit, m_clock.now(), isInFleet);
             if (change == LimitChange::None)
                 continue;
             nlohmann::json fields { { "host", limit.server.host.text() },
--- a/ramphinge/dispatch/server_backoff_test.cpp
+++ b/ramphinge/dispatch/server_backoff_test.cpp
@@ -150,7 +150,7 @@
     {
         DispatchHarness harness;
         for (const char *host : { "a1", "a2" })
-            harness.state.gate.hearLeaving(HostId(host));
+            harness.state.gate.noteLeaving(HostId(host));
         const auto caller = harness.serve("/safe/1");
         CPPUNIT_ASSERT_EQUAL(503, caller->response.status);
         CPPUNIT_ASSERT(caller->response.body.find("no_upstream") != std::string::npos);
--- a/ramphinge/limits/server_departures.cpp
+++ b/ramphinge/limits/server_departures.cpp
@@ -13,7 +13,7 @@
     return m_leaving.emplace(host, Departure { m_options.broadcasts, {} }).second;
 }
 
-std::vector<HostId> ServerDepartures::takeNews()
+std::vector<HostId> ServerDepartures::takeUpdates()
 {
     std::vector<HostId> due;
     for (auto &[host, departure] : m_leaving) {
--- a/ramphinge/limits/server_departures.h
+++ b/ramphinge/limits/server_departures.h
@@ -39,7 +39,7 @@
     bool isLeaving(const HostId &host) const { return m_leaving.count(host) > 0; }
 
     // The servers to include in the next broadcast to the other daemons, up to the limit.
-    std::vector<HostId> takeNews();
+    std::vector<HostId> takeUpdates();
 
     // Drops servers that left the fleet long ago. `exists` tells whether a server is in the fleet.
     void forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now);
--- a/ramphinge/limits/server_gate.cpp
+++ b/ramphinge/limits/server_gate.cpp
@@ -28,9 +28,9 @@
     return changes;
 }
 
-ServerNews ServerGate::takeNews(MonotonicTime now)
+ServerUpdate ServerGate::takeUpdate(MonotonicTime now)
 {
-    return { m_limits.takeNews(now), m_departures.takeNews() };
+    return { m_limits.takeUpdates(now), m_departures.takeUpdates() };
 }
 
 void ServerGate::take(const HostId &host, MonotonicTime now)
--- a/ramphinge/limits/server_gate.h
+++ b/ramphinge/limits/server_gate.h
@@ -35,9 +35,9 @@
 };
 
 // What daemons broadcast to each other about the statements of servers.
-struct ServerNews
+struct ServerUpdate
 {
-    std::vector<ServerLimitNews> limits;
+    std::vector<ServerLimitUpdate> limits;
     std::vector<HostId> leaving;
 
     bool empty() const { return limits.empty() && leaving.empty(); }
@@ -56,10 +56,10 @@
                                 MonotonicTime sentAt, MonotonicTime now);
 
     // What to broadcast to the other daemons now.
-    ServerNews takeNews(MonotonicTime now);
+    ServerUpdate takeUpdate(MonotonicTime now);
 
     // Records that the server announced its shutdown to another daemon. True if that is new.
-    bool hearLeaving(const HostId &host) { return m_departures.note(host); }
+    bool noteLeaving(const HostId &host) { return m_departures.note(host); }
 
     // Whether a new request may be sent to the server.
     bool admits(const HostId &host, MonotonicTime now) const
--- a/ramphinge/limits/server_gate_test.cpp
+++ b/ramphinge/limits/server_gate_test.cpp
@@ -231,11 +231,11 @@
     void departureIsBroadcastThreeTimes()
     {
         ServerGate gate;
-        CPPUNIT_ASSERT(gate.hearLeaving(host));
-        CPPUNIT_ASSERT(!gate.hearLeaving(host));
+        CPPUNIT_ASSERT(gate.noteLeaving(host));
+        CPPUNIT_ASSERT(!gate.noteLeaving(host));
         for (int broadcast = 0; broadcast < 3; ++broadcast)
-            CPPUNIT_ASSERT(gate.takeNews(at(0)).leaving == std::vector<HostId> { host });
-        CPPUNIT_ASSERT(gate.takeNews(at(0)).empty());
+            CPPUNIT_ASSERT(gate.takeUpdate(at(0)).leaving == std::vector<HostId> { host });
+        CPPUNIT_ASSERT(gate.takeUpdate(at(0)).empty());
     }
 
     void departureSurvivesALapsedRegistration()
--- a/ramphinge/limits/server_limits.cpp
+++ b/ramphinge/limits/server_limits.cpp
@@ -126,23 +126,24 @@
     return LimitChange::Ended;
 }
 
-LimitChange ServerLimits::hear(const ServerLimitNews &news, MonotonicTime now, bool isInFleet)
+LimitChange ServerLimits::applyUpdate(const ServerLimitUpdate &update, MonotonicTime now,
+                                      bool isInFleet)
 {
-    const MonotonicTime observedAt = now - news.age;
-    const auto known = m_limits.find(news.server.host);
+    const MonotonicTime observedAt = now - update.age;
+    const auto known = m_limits.find(update.server.host);
     if (known == m_limits.end()) {
-        if (!isInFleet && news.age > m_options.goneRetention)
+        if (!isInFleet && update.age > m_options.goneRetention)
             return LimitChange::None;
-        if (!news.rate || m_limits.size() >= m_options.maxServers)
+        if (!update.rate || m_limits.size() >= m_options.maxServers)
             return LimitChange::None;
-        add(news.server, *news.rate, observedAt, now);
+        add(update.server, *update.rate, observedAt, now);
         return LimitChange::Stated;
     }
     Limit &limit = known->second;
     if (observedAt <= std::max(limit.statedAt, limit.endedAt.value_or(limit.statedAt)))
         return LimitChange::None;
-    if (news.rate)
-        return applyStatement(limit, *news.rate, observedAt, now);
+    if (update.rate)
+        return applyStatement(limit, *update.rate, observedAt, now);
     if (limit.endedAt)
         return LimitChange::None;
     end(limit, observedAt, now);
@@ -201,7 +202,8 @@
     return static_cast<std::size_t>(m_updateTokens);
 }
 
-ServerLimitNews ServerLimits::makeUpdate(const HostId &host, Limit &limit, MonotonicTime now) const
+ServerLimitUpdate ServerLimits::makeUpdate(const HostId &host, Limit &limit,
+                                           MonotonicTime now) const
 {
     const MonotonicTime observedAt = limit.endedAt.value_or(limit.statedAt);
     limit.broadcastsLeft = std::max(0, limit.broadcastsLeft - 1);
@@ -213,7 +215,7 @@
              now - observedAt };
 }
 
-std::vector<ServerLimitNews> ServerLimits::takeNews(MonotonicTime now)
+std::vector<ServerLimitUpdate> ServerLimits::takeUpdates(MonotonicTime now)
 {
     using Entry = std::pair<const HostId, Limit>;
     std::vector<Entry *> due;
@@ -230,11 +232,11 @@
             < std::make_pair(-b->second.broadcastsLeft, b->second.nextBroadcastAt);
     });
     due.resize(std::min(due.size(), updatesAllowed(now)));
-    std::vector<ServerLimitNews> news;
+    std::vector<ServerLimitUpdate> updates;
     for (Entry *entry : due)
-        news.push_back(makeUpdate(entry->first, entry->second, now));
-    m_updateTokens -= static_cast<double>(news.size());
-    return news;
+        updates.push_back(makeUpdate(entry->first, entry->second, now));
+    m_updateTokens -= static_cast<double>(updates.size());
+    return updates;
 }
 
 // Recovery steps since the limit ended, with a fraction; 0 if it has not ended.
--- a/ramphinge/limits/server_limits.h
+++ b/ramphinge/limits/server_limits.h
@@ -56,7 +56,7 @@
 
 // An update about a server's limit that daemons broadcast to each other. It carries an age instead
 // of a time, since their clocks differ.
-struct ServerLimitNews
+struct ServerLimitUpdate
 {
     LimitedServer server;
     std::optional<RequestRate> rate; // Empty: the limit has ended.
@@ -142,10 +142,11 @@
     // Applies another daemon's update if it is newer than what is known. An old update about a
     // server that left the fleet is ignored; otherwise daemons that have dropped the server would
     // restore it for each other.
-    LimitChange hear(const ServerLimitNews &news, MonotonicTime now, bool isInFleet = true);
+    LimitChange applyUpdate(const ServerLimitUpdate &update, MonotonicTime now,
+                            bool isInFleet = true);
 
     // The updates to broadcast to the other daemons now, within the rate of updates.
-    std::vector<ServerLimitNews> takeNews(MonotonicTime now);
+    std::vector<ServerLimitUpdate> takeUpdates(MonotonicTime now);
 
     // Whether this daemon may send the server a request now.
     bool admits(const HostId &host, MonotonicTime now) const;
@@ -194,7 +195,7 @@
     void end(Limit &limit, MonotonicTime endedAt, MonotonicTime now);
     void scheduleBroadcast(Limit &limit, MonotonicTime now) const;
     std::size_t updatesAllowed(MonotonicTime now);
-    ServerLimitNews makeUpdate(const HostId &host, Limit &limit, MonotonicTime now) const;
+    ServerLimitUpdate makeUpdate(const HostId &host, Limit &limit, MonotonicTime now) const;
     std::size_t rankFor(const LimitedServer &server) const;
     double recoveryStepsOf(const Limit &limit, MonotonicTime now) const;
     bool hasRecovered(const Limit &limit, MonotonicTime now) const;
--- a/ramphinge/limits/server_limits_test.cpp
+++ b/ramphinge/limits/server_limits_test.cpp
@@ -97,16 +97,16 @@
     void exchangeUpdates()
     {
         m_exchangedAt = clock.now();
-        std::vector<ServerLimitNews> all;
+        std::vector<ServerLimitUpdate> all;
         for (ServerLimits &daemon : m_daemons) {
-            for (const ServerLimitNews &news : daemon.takeNews(clock.now()))
-                all.push_back(news);
+            for (const ServerLimitUpdate &limitUpdate : daemon.takeUpdates(clock.now()))
+                all.push_back(limitUpdate);
         }
         if (!isLinked)
             return;
         for (ServerLimits &daemon : m_daemons) {
-            for (const ServerLimitNews &news : all)
-                daemon.hear(news, clock.now());
+            for (const ServerLimitUpdate &limitUpdate : all)
+                daemon.applyUpdate(limitUpdate, clock.now());
         }
     }
 
@@ -327,17 +327,18 @@
     {
         ManualClock clock;
         ServerLimits limits;
-        const auto hear = [&](std::optional<RequestRate> rate, int ageSeconds) {
-            return limits.hear({ server, rate, std::chrono::seconds(ageSeconds) }, clock.now());
+        const auto applyUpdate = [&](std::optional<RequestRate> rate, int ageSeconds) {
+            return limits.applyUpdate({ server, rate, std::chrono::seconds(ageSeconds) },
+                                      clock.now());
         };
-        CPPUNIT_ASSERT(hear(std::nullopt, 0) == LimitChange::None);
-        CPPUNIT_ASSERT(hear(RequestRate(2), 3) == LimitChange::Stated);
-        CPPUNIT_ASSERT(hear(RequestRate(9), 5) == LimitChange::None);
-        CPPUNIT_ASSERT(hear(std::nullopt, 4) == LimitChange::None);
-        CPPUNIT_ASSERT(hear(RequestRate(1), 2) == LimitChange::Changed);
-        CPPUNIT_ASSERT(hear(std::nullopt, 1) == LimitChange::Ended);
-        CPPUNIT_ASSERT(hear(RequestRate(1), 2) == LimitChange::None);
-        CPPUNIT_ASSERT(hear(RequestRate(1), 0) == LimitChange::Stated);
+        CPPUNIT_ASSERT(applyUpdate(std::nullopt, 0) == LimitChange::None);
+        CPPUNIT_ASSERT(applyUpdate(RequestRate(2), 3) == LimitChange::Stated);
+        CPPUNIT_ASSERT(applyUpdate(RequestRate(9), 5) == LimitChange::None);
+        CPPUNIT_ASSERT(applyUpdate(std::nullopt, 4) == LimitChange::None);
+        CPPUNIT_ASSERT(applyUpdate(RequestRate(1), 2) == LimitChange::Changed);
+        CPPUNIT_ASSERT(applyUpdate(std::nullopt, 1) == LimitChange::Ended);
+        CPPUNIT_ASSERT(applyUpdate(RequestRate(1), 2) == LimitChange::None);
+        CPPUNIT_ASSERT(applyUpdate(RequestRate(1), 0) == LimitChange::Stated);
     }
 
     void answerToAnEarlierRequestDoesNotEndTheLimit()
@@ -364,7 +365,7 @@
         for (int round = 0; round < 80; ++round) { // 20 s.
             if (round < 40)
                 limits.noteAnswer(server, RequestRate(2), clock.now(), clock.now());
-            updates += static_cast<int>(limits.takeNews(clock.now()).size());
+            updates += static_cast<int>(limits.takeUpdates(clock.now()).size());
             clock.advance(updateDelay);
         }
         CPPUNIT_ASSERT(updates >= 6 && updates <= 9);
@@ -385,10 +386,10 @@
             for (int number = 0; number < servers; ++number)
                 limits.noteAnswer({ HostId("s" + std::to_string(number)), ZoneId("z") },
                                   RequestRate(2), clock.now(), clock.now());
-            const std::vector<ServerLimitNews> news = limits.takeNews(clock.now());
-            for (const ServerLimitNews &update : news)
+            const std::vector<ServerLimitUpdate> dueUpdates = limits.takeUpdates(clock.now());
+            for (const ServerLimitUpdate &update : dueUpdates)
                 ++updates[update.server.host];
-            sinceBurst += round < 40 ? 0 : static_cast<int>(news.size());
+            sinceBurst += round < 40 ? 0 : static_cast<int>(dueUpdates.size());
             clock.advance(updateDelay);
         }
         CPPUNIT_ASSERT(sinceBurst <= maxPerSecond * 50);
@@ -409,13 +410,13 @@
         for (int round = 0; round < 80; ++round) {
             for (int number = 0; number < 500; ++number)
                 state("old", number);
-            limits.takeNews(clock.now());
+            limits.takeUpdates(clock.now());
             clock.advance(updateDelay);
         }
         for (int number = 0; number < 10; ++number)
             state("new", number);
         int changes = 0;
-        for (const ServerLimitNews &update : limits.takeNews(clock.now()))
+        for (const ServerLimitUpdate &update : limits.takeUpdates(clock.now()))
             changes += update.server.host.text().rfind("new", 0) == 0 ? 1 : 0;
         CPPUNIT_ASSERT_EQUAL(10, changes);
     }
@@ -435,8 +436,9 @@
                     daemons[daemon].forgetOld(isAbsent, clock.now());
                 if (round < 119)
                     continue;
-                for (const ServerLimitNews &news : daemons[daemon].takeNews(clock.now()))
-                    daemons[1 - daemon].hear(news, clock.now(), false);
+                for (const ServerLimitUpdate &limitUpdate :
+                     daemons[daemon].takeUpdates(clock.now()))
+                    daemons[1 - daemon].applyUpdate(limitUpdate, clock.now(), false);
             }
         }
         CPPUNIT_ASSERT(daemons[0].empty() && daemons[1].empty());
--- a/ramphinge/peers/message.cpp
+++ b/ramphinge/peers/message.cpp
@@ -644,7 +644,7 @@
 void writeFields(const ServerUpdateMessage &message, Json &json)
 {
     Json list = Json::array();
-    for (const ServerLimitNews &update : message.update.limits) {
+    for (const ServerLimitUpdate &update : message.update.limits) {
         const Json rate = update.rate ? Json(update.rate->perSecond()) : Json();
         list.push_back(Json::array({ update.server.host.text(), update.server.zone.text(), rate,
                                      milliseconds(update.age) }));
@@ -660,7 +660,7 @@
 void readFields(ServerUpdateMessage &message, const Json &json, MonotonicTime)
 {
     for (const Json &entry : json.at("l")) {
-        ServerLimitNews update;
+        ServerLimitUpdate update;
         update.server = { HostId(entry.at(0).get<std::string>()),
                           ZoneId(entry.at(1).get<std::string>()) };
         update.age = durationFrom(entry.at(3), 0);
--- a/ramphinge/peers/message.h
+++ b/ramphinge/peers/message.h
@@ -177,7 +177,7 @@
 // What servers have newly said of themselves: their request limits, and that they are leaving.
 struct ServerUpdateMessage
 {
-    ServerNews update;
+    ServerUpdate update;
 };
 
 using PeerMessage =
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -203,8 +203,8 @@
         m_network->connect(daemon.daemon, daemon.links);
 }
 
-void RelayNode::shareServerUpdates(std::function<ServerNews()> takeUpdate,
-                                   std::function<void(const ServerNews &)> onUpdate)
+void RelayNode::shareServerUpdates(std::function<ServerUpdate()> takeUpdate,
+                                   std::function<void(const ServerUpdate &)> onUpdate)
 {
     m_takeServerUpdate = std::move(takeUpdate);
     m_onServerUpdate = std::move(onUpdate);
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -76,8 +76,8 @@
     // `takeUpdate` returns what servers have newly said of themselves; `onUpdate` receives the
     // updates of other daemons. Updates are sent with each round of runLoads(), by way of the
     // relays; daemons of zones without relays send them to each other.
-    void shareServerUpdates(std::function<ServerNews()> takeUpdate,
-                            std::function<void(const ServerNews &)> onUpdate);
+    void shareServerUpdates(std::function<ServerUpdate()> takeUpdate,
+                            std::function<void(const ServerUpdate &)> onUpdate);
     // Calls exchangeLoads() each loadInterval, until stop().
     void runLoads(Yield yield);
     // Sends server updates and loads once.
@@ -159,8 +159,8 @@
     SharedLoad m_lastReportedLoad; // This daemon's own load, as last sent to its relay.
     std::function<SharedLoad()> m_ownLoad; // Empty: loads are not shared.
     std::function<void(const SharedLoad &)> m_onOthersLoad;
-    std::function<ServerNews()> m_takeServerUpdate; // Empty: server updates are not sent.
-    std::function<void(const ServerNews &)> m_onServerUpdate;
+    std::function<ServerUpdate()> m_takeServerUpdate; // Empty: server updates are not sent.
+    std::function<void(const ServerUpdate &)> m_onServerUpdate;
     std::optional<MonotonicTime> m_lastRequestAt; // When a follower last sent a request.
     std::map<DaemonId, Backoff> m_backoffs;
     std::map<DaemonId, MonotonicTime> m_connectingSince; // Relays without a link yet.
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -283,13 +283,13 @@
     static void expectServerUpdatesExchanged(IoContext &io, LinkedPair &pair, Yield yield)
     {
         const auto updateOf = [](const char *host) {
-            return ServerNews { { { { HostId(host), ZoneId("z") },
-                                    RequestRate(2),
-                                    std::chrono::milliseconds(30) } },
-                                { HostId(host) } };
+            return ServerUpdate { { { { HostId(host), ZoneId("z") },
+                                      RequestRate(2),
+                                      std::chrono::milliseconds(30) } },
+                                  { HostId(host) } };
         };
-        ServerNews receivedByFollower;
-        ServerNews receivedByRelay;
+        ServerUpdate receivedByFollower;
+        ServerUpdate receivedByRelay;
         pair.relay.shareServerUpdates([&] { return updateOf("of relay"); },
                                       [&](const auto &update) { receivedByRelay = update; });
         pair.follower.shareServerUpdates([&] { return updateOf("of follower"); },
