--- a/daemon/server_report.cpp
+++ b/daemon/server_report.cpp
@@ -23,7 +23,7 @@
     std::map<HostId, nlohmann::json> byHost;
     for (const ServerLimitState &limit : gate.limits().states(now))
         byHost[limit.host]["limit"] = { { "per_second", limit.accepted.perSecond() },
-                                        { "stated_ms_ago", toMilliseconds(limit.statedBefore) },
+                                        { "stated_ms_ago", toMilliseconds(limit.sinceStated) },
                                         { "ended", limit.hasEnded },
                                         { "shares", limit.isSharer } };
     for (const ServerBackoffState &backoff : gate.backoffs().states(now))
--- a/ramphinge/dispatch/internal/proxied_request.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -141,7 +141,7 @@
     if (chosen == nullptr)
         return std::nullopt;
     m_triedHosts.insert(chosen->host);
-    m_context.state.gate.take(chosen->host, now());
+    m_context.state.gate.recordSend(chosen->host, now());
     return *chosen; // A copy: the table may change while the attempt waits.
 }
 
@@ -235,7 +235,7 @@
     const ServerBackoffs &backoffs = m_context.state.gate.backoffs();
     MonotonicTime earliest = MonotonicTime::max();
     for (const HostId &host : allCandidateHosts())
-        earliest = std::min(earliest, backoffs.returnsAt(host, now()).value_or(now()));
+        earliest = std::min(earliest, backoffs.resumesAt(host, now()).value_or(now()));
     const Duration base = m_context.options.retryAfter;
     const Duration spread = scaled(base, m_context.options.retryAfterSpread);
     return std::max(base, earliest - now()) + scaled(spread, m_context.random.fraction());
--- a/ramphinge/limits/server_backoffs.cpp
+++ b/ramphinge/limits/server_backoffs.cpp
@@ -79,7 +79,7 @@
     return now >= backoff.resumeAt && !isProbePending;
 }
 
-std::optional<MonotonicTime> ServerBackoffs::returnsAt(const HostId &host, MonotonicTime now) const
+std::optional<MonotonicTime> ServerBackoffs::resumesAt(const HostId &host, MonotonicTime now) const
 {
     const auto known = m_backoffs.find(host);
     if (known == m_backoffs.end() || now >= known->second.resumeAt)
@@ -87,7 +87,7 @@
     return known->second.resumeAt;
 }
 
-void ServerBackoffs::take(const HostId &host, MonotonicTime now)
+void ServerBackoffs::recordSend(const HostId &host, MonotonicTime now)
 {
     const auto known = m_backoffs.find(host);
     if (known != m_backoffs.end())
--- a/ramphinge/limits/server_backoffs.h
+++ b/ramphinge/limits/server_backoffs.h
@@ -7,7 +7,7 @@
 //
 //   backoffs.noteRefusal(host, backoff, now);
 //   if (backoffs.admits(host, now)) {
-//       backoffs.take(host, now);
+//       backoffs.recordSend(host, now);
 //       send();
 //   }
 //
@@ -76,10 +76,10 @@
 
     // When this daemon may send to the server again; empty if that time has passed or the server
     // has no backoff.
-    std::optional<MonotonicTime> returnsAt(const HostId &host, MonotonicTime now) const;
+    std::optional<MonotonicTime> resumesAt(const HostId &host, MonotonicTime now) const;
 
     // Records that a request is sent to the server.
-    void take(const HostId &host, MonotonicTime now);
+    void recordSend(const HostId &host, MonotonicTime now);
 
     // Drops backoffs that ended long ago, and those of servers that left the fleet. `exists` tells
     // whether a server is in the fleet.
--- a/ramphinge/limits/server_gate.cpp
+++ b/ramphinge/limits/server_gate.cpp
@@ -33,10 +33,10 @@
     return { m_limits.takeUpdates(now), m_departures.takeUpdates() };
 }
 
-void ServerGate::take(const HostId &host, MonotonicTime now)
+void ServerGate::recordSend(const HostId &host, MonotonicTime now)
 {
-    m_limits.take(host, now);
-    m_backoffs.take(host, now);
+    m_limits.recordSend(host, now);
+    m_backoffs.recordSend(host, now);
 }
 
 void ServerGate::forgetOld(const std::function<bool(const HostId &)> &exists, MonotonicTime now)
--- a/ramphinge/limits/server_gate.h
+++ b/ramphinge/limits/server_gate.h
@@ -4,7 +4,7 @@
 //
 //   gate.noteAnswer({ host, zone }, statement, sentAt, now);
 //   if (gate.admits(host, now)) {
-//       gate.take(host, now);
+//       gate.recordSend(host, now);
 //       ... // Connects. The server may state something else meanwhile.
 //       if (gate.mayWrite(host, SendPurpose::Request, now))
 //           write();
@@ -69,7 +69,7 @@
     }
 
     // Records that a new request is sent to the server.
-    void take(const HostId &host, MonotonicTime now);
+    void recordSend(const HostId &host, MonotonicTime now);
 
     // Whether something may be written to the server now: an admitted request, or control traffic,
     // which needs no admission.
--- a/ramphinge/limits/server_gate_test.cpp
+++ b/ramphinge/limits/server_gate_test.cpp
@@ -53,7 +53,7 @@
                 continue;
             CPPUNIT_ASSERT(now >= at(3));
             CPPUNIT_ASSERT(!probes[i]);
-            all[i].take(host, now);
+            all[i].recordSend(host, now);
             probes[i] = now;
             arrivals.push_back(now);
         }
@@ -97,7 +97,7 @@
         }
         CPPUNIT_ASSERT(!backoffs.isBackingOff(host, at(3)));
         CPPUNIT_ASSERT(backoffs.admits(host, at(3.1)));
-        CPPUNIT_ASSERT(backoffs.returnsAt(host, at(1)).value() >= at(3));
+        CPPUNIT_ASSERT(backoffs.resumesAt(host, at(1)).value() >= at(3));
     }
 
     void shorterBackoffDoesNotEndALongerOne()
@@ -124,7 +124,7 @@
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
-        backoffs.take(host, at(3.1));
+        backoffs.recordSend(host, at(3.1));
         CPPUNIT_ASSERT(!backoffs.admits(host, at(3.2)));
         backoffs.noteAnswer(host, at(3.1));
         CPPUNIT_ASSERT(backoffs.admits(host, at(3.2)));
@@ -134,7 +134,7 @@
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
-        backoffs.take(host, at(3.1));
+        backoffs.recordSend(host, at(3.1));
         CPPUNIT_ASSERT(backoffs.noteRefusal(host, span(1), at(3.2)) == BackoffChange::Asked);
         CPPUNIT_ASSERT(!backoffs.admits(host, at(4.1)));
         CPPUNIT_ASSERT(backoffs.admits(host, at(4.3)));
@@ -144,9 +144,9 @@
     {
         ServerBackoffs backoffs;
         backoffs.noteRefusal(host, span(3), at(0));
-        backoffs.take(host, at(3.1));
+        backoffs.recordSend(host, at(3.1));
         CPPUNIT_ASSERT(backoffs.admits(host, at(4.2)));
-        backoffs.take(host, at(4.2));
+        backoffs.recordSend(host, at(4.2));
         CPPUNIT_ASSERT(!backoffs.admits(host, at(4.3)));
     }
 
--- a/ramphinge/limits/server_limits.cpp
+++ b/ramphinge/limits/server_limits.cpp
@@ -327,7 +327,7 @@
     return availableTokens(limit, now) >= 1 || mayProbe(limit, now);
 }
 
-void ServerLimits::take(const HostId &host, MonotonicTime now)
+void ServerLimits::recordSend(const HostId &host, MonotonicTime now)
 {
     const auto known = m_limits.find(host);
     if (known == m_limits.end())
--- a/ramphinge/limits/server_limits.h
+++ b/ramphinge/limits/server_limits.h
@@ -14,7 +14,7 @@
 //   limits.setDaemons(self, daemons, now);
 //   limits.noteAnswer({ host, zone }, rate, sentAt, now);
 //   if (limits.admits(host, now)) {
-//       limits.take(host, now);
+//       limits.recordSend(host, now);
 //       send();
 //   }
 //
@@ -68,7 +68,7 @@
 {
     HostId host;
     RequestRate accepted; // From all daemons together.
-    Duration statedBefore {}; // Time since an answer last stated the limit.
+    Duration sinceStated {}; // Time since an answer last stated the limit.
     bool hasEnded = false; // The limit has ended, and the accepted rate is recovering.
     bool isSharer = false; // This daemon has a share of the accepted rate.
 };
@@ -152,7 +152,7 @@
     bool admits(const HostId &host, MonotonicTime now) const;
 
     // Records that a request is sent to the server.
-    void take(const HostId &host, MonotonicTime now);
+    void recordSend(const HostId &host, MonotonicTime now);
 
     // Rate that the server accepts from all daemons together; empty if it is unlimited.
     std::optional<RequestRate> rateOf(const HostId &host, MonotonicTime now) const;
--- a/ramphinge/limits/server_limits_test.cpp
+++ b/ramphinge/limits/server_limits_test.cpp
@@ -68,7 +68,7 @@
         if (!limits.admits(server.host, clock.now()))
             return;
         const bool knowsLimit = !limits.empty();
-        limits.take(server.host, clock.now());
+        limits.recordSend(server.host, clock.now());
         arrivals.push_back(clock.now());
         if (knowsLimit)
             maxInWindow = std::max(maxInWindow, countInWindow(m_inWindow));
