--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -317,7 +317,7 @@
 
     void updateLimitSharers(const std::vector<DaemonRegistration> &daemons)
     {
-        std::vector<LimitSharer> sharers;
+        std::vector<RegisteredDaemon> sharers;
         for (const DaemonRegistration &daemon : daemons)
             sharers.push_back({ daemon.daemon, daemon.zone });
         m_dispatch.gate.setDaemons({ m_settings.daemon, m_settings.zone }, sharers, m_clock.now());
--- a/ramphinge/dispatch/server_limit_test.cpp
+++ b/ramphinge/dispatch/server_limit_test.cpp
@@ -31,7 +31,7 @@
     {
         for (int number = 0; number < daemons; ++number)
             m_daemons.push_back(std::make_unique<DispatchHarness>());
-        std::vector<LimitSharer> registeredDaemons;
+        std::vector<RegisteredDaemon> registeredDaemons;
         for (int number = 0; number < daemons; ++number)
             registeredDaemons.push_back({ DaemonId("d" + std::to_string(number)), ZoneId("z") });
         for (int number = 0; number < daemons; ++number) {
--- a/ramphinge/limits/server_gate.cpp
+++ b/ramphinge/limits/server_gate.cpp
@@ -4,14 +4,14 @@
 
 namespace ramphinge {
 
-void ServerGate::setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
-                            MonotonicTime now)
+void ServerGate::setDaemons(const RegisteredDaemon &self,
+                            const std::vector<RegisteredDaemon> &daemons, MonotonicTime now)
 {
     m_limits.setDaemons(self, daemons, now);
     m_backoffs.setDaemons(self.daemon, m_limits.daemons());
 }
 
-StatementChanges ServerGate::noteAnswer(const LimitedServer &server,
+StatementChanges ServerGate::noteAnswer(const ServerLocation &server,
                                         const ServerStatement &statement, MonotonicTime sentAt,
                                         MonotonicTime now)
 {
--- a/ramphinge/limits/server_gate.h
+++ b/ramphinge/limits/server_gate.h
@@ -48,11 +48,11 @@
 {
 public:
     // Sets the registered daemons of all zones. `self` counts as one even if it is not listed.
-    void setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
+    void setDaemons(const RegisteredDaemon &self, const std::vector<RegisteredDaemon> &daemons,
                     MonotonicTime now);
 
     // Applies the statement in an answer to a request that was sent at `sentAt`.
-    StatementChanges noteAnswer(const LimitedServer &server, const ServerStatement &statement,
+    StatementChanges noteAnswer(const ServerLocation &server, const ServerStatement &statement,
                                 MonotonicTime sentAt, MonotonicTime now);
 
     // What to broadcast to the other daemons now.
--- a/ramphinge/limits/server_gate_test.cpp
+++ b/ramphinge/limits/server_gate_test.cpp
@@ -198,7 +198,7 @@
         refusal.backoff = span(3);
         ServerStatement plain;
         plain.isAuthentic = true;
-        const LimitedServer server { host, ZoneId("z") };
+        const ServerLocation server { host, ZoneId("z") };
         const auto note = [&](const ServerStatement &statement, double sent, double now) {
             return gate.noteAnswer(server, statement, at(sent), at(now)).backoff;
         };
--- a/ramphinge/limits/server_limits.cpp
+++ b/ramphinge/limits/server_limits.cpp
@@ -35,8 +35,8 @@
     return "none";
 }
 
-void ServerLimits::setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
-                              MonotonicTime now)
+void ServerLimits::setDaemons(const RegisteredDaemon &self,
+                              const std::vector<RegisteredDaemon> &daemons, MonotonicTime now)
 {
     // Most changes of the fleet don't affect the daemons.
     const bool noneIsMissing = m_daemons.size() == m_registered.size();
@@ -46,7 +46,7 @@
     m_registered = daemons;
     bool changed = false;
     std::set<DaemonId> registered;
-    const auto addDaemon = [&](const LimitSharer &sharer) {
+    const auto addDaemon = [&](const RegisteredDaemon &sharer) {
         registered.insert(sharer.daemon);
         const bool isNew =
             m_daemons.insert_or_assign(sharer.daemon, Daemon { sharer.zone, {} }).second;
@@ -54,7 +54,7 @@
             m_lastDaemonAddedAt = now;
         changed |= isNew;
     };
-    for (const LimitSharer &sharer : daemons)
+    for (const RegisteredDaemon &sharer : daemons)
         addDaemon(sharer);
     addDaemon(self);
     eraseIf(m_daemons, [&](auto &entry) {
@@ -75,7 +75,7 @@
 // The order alternates between the best remaining daemon of the server's zone and the best
 // remaining one of all zones, by score. So in any number of leading ranks at least half are in the
 // server's zone, as long as it has daemons left.
-std::size_t ServerLimits::rankFor(const LimitedServer &server) const
+std::size_t ServerLimits::rankFor(const ServerLocation &server) const
 {
     struct Candidate
     {
@@ -108,8 +108,9 @@
     return 0; // setDaemons() has not been called yet.
 }
 
-LimitChange ServerLimits::noteAnswer(const LimitedServer &server, std::optional<RequestRate> stated,
-                                     MonotonicTime sentAt, MonotonicTime now)
+LimitChange ServerLimits::noteAnswer(const ServerLocation &server,
+                                     std::optional<RequestRate> stated, MonotonicTime sentAt,
+                                     MonotonicTime now)
 {
     const auto known = m_limits.find(server.host);
     if (stated && known == m_limits.end()) {
@@ -150,7 +151,7 @@
     return LimitChange::Ended;
 }
 
-ServerLimits::Limit &ServerLimits::add(const LimitedServer &server, RequestRate rate,
+ServerLimits::Limit &ServerLimits::add(const ServerLocation &server, RequestRate rate,
                                        MonotonicTime statedAt, MonotonicTime now)
 {
     Limit &limit = m_limits[server.host];
--- a/ramphinge/limits/server_limits.h
+++ b/ramphinge/limits/server_limits.h
@@ -37,18 +37,18 @@
 
 const char *toString(LimitChange change);
 
-struct LimitedServer
+struct ServerLocation
 {
     HostId host;
     ZoneId zone;
 };
 
-struct LimitSharer
+struct RegisteredDaemon
 {
     DaemonId daemon;
     ZoneId zone;
 
-    friend bool operator==(const LimitSharer &a, const LimitSharer &b)
+    friend bool operator==(const RegisteredDaemon &a, const RegisteredDaemon &b)
     {
         return a.daemon == b.daemon && a.zone == b.zone;
     }
@@ -58,7 +58,7 @@
 // of a time, since their clocks differ.
 struct ServerLimitUpdate
 {
-    LimitedServer server;
+    ServerLocation server;
     std::optional<RequestRate> rate; // Empty: the limit has ended.
     Duration age {}; // Time since the answer that stated it or ended the limit.
 };
@@ -130,13 +130,13 @@
     explicit ServerLimits(ServerLimitsOptions options = {}) : m_options(options) { }
 
     // Sets the registered daemons of all zones. `self` counts as one even if it is not registered.
-    void setDaemons(const LimitSharer &self, const std::vector<LimitSharer> &daemons,
+    void setDaemons(const RegisteredDaemon &self, const std::vector<RegisteredDaemon> &daemons,
                     MonotonicTime now);
 
     // Records an answer to a request that was sent at `sentAt`. `stated` is empty if the answer
     // states no limit; that ends the limit only if the request was sent after the last statement,
     // since answers on different connections may arrive out of order.
-    LimitChange noteAnswer(const LimitedServer &server, std::optional<RequestRate> stated,
+    LimitChange noteAnswer(const ServerLocation &server, std::optional<RequestRate> stated,
                            MonotonicTime sentAt, MonotonicTime now);
 
     // Applies another daemon's update if it is newer than what is known. An old update about a
@@ -188,7 +188,7 @@
         std::optional<MonotonicTime> missingSince; // When its registration was first absent.
     };
 
-    Limit &add(const LimitedServer &server, RequestRate rate, MonotonicTime statedAt,
+    Limit &add(const ServerLocation &server, RequestRate rate, MonotonicTime statedAt,
                MonotonicTime now);
     LimitChange applyStatement(Limit &limit, RequestRate rate, MonotonicTime statedAt,
                                MonotonicTime now);
@@ -196,7 +196,7 @@
     void scheduleBroadcast(Limit &limit, MonotonicTime now) const;
     std::size_t updatesAllowed(MonotonicTime now);
     ServerLimitUpdate makeUpdate(const HostId &host, Limit &limit, MonotonicTime now) const;
-    std::size_t rankFor(const LimitedServer &server) const;
+    std::size_t rankFor(const ServerLocation &server) const;
     double recoveryStepsOf(const Limit &limit, MonotonicTime now) const;
     bool hasRecovered(const Limit &limit, MonotonicTime now) const;
     RequestRate acceptedRate(const Limit &limit, MonotonicTime now) const;
@@ -207,9 +207,9 @@
     bool mayProbe(const Limit &limit, MonotonicTime now) const;
 
     ServerLimitsOptions m_options;
-    LimitSharer m_self;
+    RegisteredDaemon m_self;
     std::map<DaemonId, Daemon> m_daemons; // Includes this one after setDaemons().
-    std::vector<LimitSharer> m_registered; // Last argument of setDaemons().
+    std::vector<RegisteredDaemon> m_registered; // Last argument of setDaemons().
     MonotonicTime m_lastDaemonAddedAt;
     std::map<HostId, Limit> m_limits;
     // Updates that may be sent, as of `m_updateTokensAt`. Invariant: at most `updateBurst`.
--- a/ramphinge/limits/server_limits_test.cpp
+++ b/ramphinge/limits/server_limits_test.cpp
@@ -17,7 +17,7 @@
 constexpr Duration window = std::chrono::seconds(4);
 constexpr Duration step = std::chrono::milliseconds(20);
 constexpr Duration updateDelay = std::chrono::milliseconds(250);
-const LimitedServer server { HostId("i-1"), ZoneId("z0") };
+const ServerLocation server { HostId("i-1"), ZoneId("z0") };
 
 // Most requests that a server may get in a window.
 double maxRequestsAt(RequestRate rate)
@@ -88,8 +88,8 @@
     // Lets the registrations of all but the first `left` daemons lapse.
     void lapseAllBut(std::size_t left)
     {
-        const std::vector<LimitSharer> registered(m_registered.begin(),
-                                                  m_registered.begin() + left);
+        const std::vector<RegisteredDaemon> registered(m_registered.begin(),
+                                                       m_registered.begin() + left);
         for (std::size_t number = 0; number < m_daemons.size(); ++number)
             m_daemons[number].setDaemons(m_registered[number], registered, clock.now());
     }
@@ -119,7 +119,7 @@
     std::size_t maxStatedInWindow = 0; // The same, while the server stated its limit.
 
 private:
-    static LimitSharer sharerOf(int number)
+    static RegisteredDaemon sharerOf(int number)
     {
         return { DaemonId("d" + std::to_string(number)), ZoneId("z" + std::to_string(number % 3)) };
     }
@@ -141,7 +141,7 @@
     RequestRate m_rate;
     ServerLimitsOptions m_options;
     std::vector<ServerLimits> m_daemons;
-    std::vector<LimitSharer> m_registered;
+    std::vector<RegisteredDaemon> m_registered;
     std::deque<MonotonicTime> m_inWindow; // Arrivals in the last window.
     std::deque<MonotonicTime> m_statedInWindow; // Those while the server stated its limit.
     MonotonicTime m_exchangedAt;
@@ -304,14 +304,14 @@
 
     void halfOfTheSharersAreInTheServersZone()
     {
-        std::vector<LimitSharer> registered;
+        std::vector<RegisteredDaemon> registered;
         for (int number = 0; number < 60; ++number)
             registered.push_back({ DaemonId("d" + std::to_string(number)),
                                    ZoneId(number < 10 ? server.zone.text() : "far") });
         int sharers = 0;
         int inZone = 0;
         ManualClock clock;
-        for (const LimitSharer &self : registered) {
+        for (const RegisteredDaemon &self : registered) {
             ServerLimits limits;
             limits.setDaemons(self, registered, clock.now());
             limits.noteAnswer(server, RequestRate(4), clock.now(), clock.now());
