--- a/ramphinge/dispatch/dispatch_state.h
+++ b/ramphinge/dispatch/dispatch_state.h
@@ -12,7 +12,7 @@
 #include "ramphinge/dispatch/demand_meter.h"
 #include "ramphinge/dispatch/suspicions.h"
 #include "ramphinge/dispatch/target_table.h"
-#include "ramphinge/limits/return_schedule.h"
+#include "ramphinge/limits/retry_after_schedule.h"
 #include "ramphinge/limits/server_gate.h"
 #include "ramphinge/limits/shared_retry_budget.h"
 #include "ramphinge/quarantine/quarantine.h"
@@ -58,7 +58,7 @@
     }
 
     // Retry-After times for callers that are refused because the servers are at their rate limits.
-    ReturnSchedule &retryAfterSchedule(const ServiceId &service, const ModelId &model)
+    RetryAfterSchedule &retryAfterSchedule(const ServiceId &service, const ModelId &model)
     {
         return m_retryAfterSchedules[{ service, model }];
     }
@@ -66,7 +66,7 @@
 private:
     int m_daemons = 1; // The highest number ever known.
     std::map<ServiceId, SharedRetryBudget> m_budgets;
-    std::map<std::pair<ServiceId, ModelId>, ReturnSchedule> m_retryAfterSchedules;
+    std::map<std::pair<ServiceId, ModelId>, RetryAfterSchedule> m_retryAfterSchedules;
 };
 
 } // namespace ramphinge
--- a/ramphinge/limits/return_schedule.cpp
+++ b/ramphinge/limits/retry_after_schedule.cpp
@@ -1,12 +1,12 @@
-// Retry-After delays: see return_schedule.h.
+// Retry-After delays: see retry_after_schedule.h.
 
-#include "ramphinge/limits/return_schedule.h"
+#include "ramphinge/limits/retry_after_schedule.h"
 
 #include <algorithm>
 
 namespace ramphinge {
 
-Duration ReturnSchedule::next(RequestRate rate, MonotonicTime now)
+Duration RetryAfterSchedule::next(RequestRate rate, MonotonicTime now)
 {
     const double seconds =
         rate.perSecond() > 0 ? 1 / rate.perSecond() : toMilliseconds(m_options.maxDelay) / 1000;
--- a/ramphinge/limits/return_schedule.h
+++ b/ramphinge/limits/retry_after_schedule.h
@@ -1,7 +1,7 @@
 // Computes Retry-After delays for refused callers, spaced so that they don't retry at a higher rate
 // than can be served.
 //
-//   ReturnSchedule schedule(options);
+//   RetryAfterSchedule schedule(options);
 //   const Duration retryAfter = schedule.next(rate, now);
 //
 // Performs no I/O; the caller passes the time.
@@ -13,24 +13,24 @@
 
 namespace ramphinge {
 
-struct ReturnScheduleOptions
+struct RetryAfterScheduleOptions
 {
     Duration minDelay = std::chrono::milliseconds(250);
     Duration maxDelay = std::chrono::seconds(5);
 };
 
 // Not thread-safe.
-class ReturnSchedule
+class RetryAfterSchedule
 {
 public:
-    explicit ReturnSchedule(ReturnScheduleOptions options = {}) : m_options(options) { }
+    explicit RetryAfterSchedule(RetryAfterScheduleOptions options = {}) : m_options(options) { }
 
     // Delay after which the next refused caller should retry. `rate` is the rate at which retries
     // of callers that this daemon refuses can be served.
     Duration next(RequestRate rate, MonotonicTime now);
 
 private:
-    ReturnScheduleOptions m_options;
+    RetryAfterScheduleOptions m_options;
     MonotonicTime m_lastRetryAt; // Latest retry time handed out.
 };
 
--- a/ramphinge/limits/server_limits_test.cpp
+++ b/ramphinge/limits/server_limits_test.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "ramphinge/base/random.h"
-#include "ramphinge/limits/return_schedule.h"
+#include "ramphinge/limits/retry_after_schedule.h"
 #include "ramphinge/limits/server_limits.h"
 #include "ramphinge/testing/cppunit_main.h"
 
@@ -447,15 +447,15 @@
     void retryDelaysAreSpacedByTheRate()
     {
         ManualClock clock;
-        ReturnSchedule schedule;
+        RetryAfterSchedule schedule;
         const Duration first = schedule.next(RequestRate(2), clock.now());
-        CPPUNIT_ASSERT(first >= ReturnScheduleOptions().minDelay);
+        CPPUNIT_ASSERT(first >= RetryAfterScheduleOptions().minDelay);
         const Duration second = schedule.next(RequestRate(2), clock.now());
         CPPUNIT_ASSERT_EQUAL(Duration(std::chrono::milliseconds(500)).count(),
                              (second - first).count());
         for (int more = 0; more < 100; ++more)
             CPPUNIT_ASSERT(schedule.next(RequestRate(0), clock.now())
-                           <= ReturnScheduleOptions().maxDelay);
+                           <= RetryAfterScheduleOptions().maxDelay);
     }
 
 private:
