--- a/ramphinge/gateway/gateway.cpp
+++ b/ramphinge/gateway/gateway.cpp
@@ -193,7 +193,7 @@
 {
     std::vector<ModelService> all;
     for (const auto &[model, pool] : m_impl->context.pools) {
-        std::vector<AccountTokens> service = pool->queue().takeServiceSinceLast();
+        std::vector<AccountTokens> service = pool->queue().takeUnreportedService();
         if (!service.empty())
             all.push_back({ model, std::move(service) });
     }
--- a/ramphinge/limits/fair_queue.cpp
+++ b/ramphinge/limits/fair_queue.cpp
@@ -179,7 +179,7 @@
     return fromSeconds(static_cast<double>(account.queuedTokens.count()) / share);
 }
 
-std::vector<AccountTokens> FairQueue::takeServiceSinceLast()
+std::vector<AccountTokens> FairQueue::takeUnreportedService()
 {
     std::vector<AccountTokens> taken;
     for (auto &[id, account] : m_accounts) {
--- a/ramphinge/limits/fair_queue.h
+++ b/ramphinge/limits/fair_queue.h
@@ -105,7 +105,7 @@
     bool hasWaiting() const { return m_waiting > 0; }
 
     // Service that this daemon gave each account since the last call, for reporting to peers.
-    std::vector<AccountTokens> takeServiceSinceLast();
+    std::vector<AccountTokens> takeUnreportedService();
 
 private:
     struct StartOrder
