--- a/ctl/quarantine_commands.cpp
+++ b/ctl/quarantine_commands.cpp
@@ -54,7 +54,7 @@
         const std::time_t seen = toUnixMilliseconds(record.lastSeen) / 1000;
         out << fingerprint << "  account " << record.account << "  route " << record.route
             << "  last " << std::put_time(std::gmtime(&seen), "%F %TZ") << "  servers ended:";
-        for (const HostId &host : record.counting())
+        for (const HostId &host : record.countedCrashes())
             out << ' ' << host;
         out << '\n';
     }
--- a/ramphinge/fleet_control/quarantine_keeper.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper.cpp
@@ -81,7 +81,7 @@
     if (applied != m_appliedRevisions.end() && applied->second == stored.revision)
         return;
     m_appliedRevisions[key] = stored.revision;
-    Result<CrashReport> report = parseCrashReport(stored.value, mostReported);
+    Result<CrashReport> report = parseCrashReport(stored.value, maxReportedRequests);
     if (!report.ok()) {
         m_log.write("crash_report_unreadable", LogWeight::Failure,
                     { { "key", key.text() }, { "why", report.error().message() } });
@@ -171,8 +171,8 @@
     m_nextHeldCheckAt = now + m_options.plannerCheckInterval;
     const StoreKey key = FleetKeys::heldRequests();
     const auto present = m_fleet.ownKeys.find(key);
-    const std::string text =
-        serializeCrashReport(newestOf(m_quarantine.held(), mostReported, mostReportedOfAccount));
+    const std::string text = serializeCrashReport(
+        newestOf(m_quarantine.held(), maxReportedRequests, maxReportedRequestsPerAccount));
     const std::string emptyText = serializeCrashReport({});
     const std::string &presentText =
         present == m_fleet.ownKeys.end() ? emptyText : present->second.value;
@@ -194,7 +194,7 @@
                         { { "fingerprint", fingerprint.text() },
                           { "account", record.account.text() },
                           { "route", record.route },
-                          { "servers_ended", record.ends() } });
+                          { "servers_ended", record.crashCount() } });
     }
     eraseIf(m_quarantinedSince, [&](const auto &entry) {
         const bool isReleased = held.count(entry.first) == 0;
@@ -210,7 +210,7 @@
     const auto present = m_fleet.ownKeys.find(FleetKeys::triedRequests());
     if (present == m_fleet.ownKeys.end())
         return CrashReport();
-    return parseCrashReport(present->second.value, mostReported);
+    return parseCrashReport(present->second.value, maxReportedRequests);
 }
 
 // Grants no trial if the list of tried requests can't be read or is full for the account: without
@@ -233,7 +233,8 @@
     record.account = m_quarantine.held()[fingerprint].account;
     record.lastSeen = now;
     tried.value()[fingerprint] = record;
-    if (newestOf(tried.value(), mostReported, mostReportedOfAccount).size() < tried.value().size())
+    if (newestOf(tried.value(), maxReportedRequests, maxReportedRequestsPerAccount).size()
+        < tried.value().size())
         return false;
     m_trialPending = true;
     const Status written =
--- a/ramphinge/fleet_control/quarantine_keeper_test.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper_test.cpp
@@ -153,7 +153,8 @@
             daemons[0]->receive(yield);
             daemons[0]->publish(yield);
             daemons[1]->receive(yield);
-            CPPUNIT_ASSERT_EQUAL(3, daemons[1]->quarantine().held().at(crashingRequest).ends());
+            CPPUNIT_ASSERT_EQUAL(3,
+                                 daemons[1]->quarantine().held().at(crashingRequest).crashCount());
         });
     }
 
--- a/ramphinge/fleet_control/quarantine_operations.cpp
+++ b/ramphinge/fleet_control/quarantine_operations.cpp
@@ -26,7 +26,7 @@
         return snapshot.error();
     StoredReports reports;
     for (const StoredEntry &entry : snapshot.value().entries) {
-        Result<CrashReport> report = parseCrashReport(entry.stored.value, mostReported);
+        Result<CrashReport> report = parseCrashReport(entry.stored.value, maxReportedRequests);
         if (!report.ok())
             continue; // Daemons skip it too.
         if (entry.key == FleetKeys::releasedRequests()) {
@@ -65,9 +65,9 @@
         record.excused.insert(record.ended.begin(), record.ended.end());
         record.ended.clear();
         CrashReport released = reports.value().released;
-        released[fingerprint].unite(record);
-        const std::string text =
-            serializeCrashReport(newestOf(released, mostReported, mostReportedOfAccount));
+        released[fingerprint].merge(record);
+        const std::string text = serializeCrashReport(
+            newestOf(released, maxReportedRequests, maxReportedRequestsPerAccount));
         const Result<Revision> written = store.commit(
             { { FleetKeys::releasedRequests(), text, reports.value().releasedRevision } }, yield);
         if (written.ok())
--- a/ramphinge/quarantine/crash_report.cpp
+++ b/ramphinge/quarantine/crash_report.cpp
@@ -65,15 +65,15 @@
 
 } // namespace
 
-std::set<HostId> CrashRecord::counting() const
+std::set<HostId> CrashRecord::countedCrashes() const
 {
-    std::set<HostId> counting;
+    std::set<HostId> countedCrashes;
     std::set_difference(ended.begin(), ended.end(), excused.begin(), excused.end(),
-                        std::inserter(counting, counting.end()));
-    return counting;
+                        std::inserter(countedCrashes, countedCrashes.end()));
+    return countedCrashes;
 }
 
-void CrashRecord::unite(const CrashRecord &other)
+void CrashRecord::merge(const CrashRecord &other)
 {
     if (account.empty())
         account = other.account;
--- a/ramphinge/quarantine/crash_report.h
+++ b/ramphinge/quarantine/crash_report.h
@@ -31,15 +31,15 @@
     WallTime lastSeen;
 
     // The servers whose crashes count, and their number.
-    std::set<HostId> counting() const;
-    int ends() const { return static_cast<int>(counting().size()); }
+    std::set<HostId> countedCrashes() const;
+    int crashCount() const { return static_cast<int>(countedCrashes().size()); }
     // Whether `other` has the same servers; other fields are ignored.
-    bool tellsTheSame(const CrashRecord &other) const
+    bool hasSameServers(const CrashRecord &other) const
     {
         return ended == other.ended && excused == other.excused;
     }
     // Adds what `other` has in addition.
-    void unite(const CrashRecord &other);
+    void merge(const CrashRecord &other);
 };
 
 using CrashReport = std::map<RequestFingerprint, CrashRecord>;
@@ -47,8 +47,8 @@
 // Maximum number of requests in a report, over all accounts and of one account. 512 records of 150
 // bytes are 75 KB of the 160 MB that the smallest machines have. The limit per account keeps a
 // caller with many harmful requests from evicting the records of others.
-constexpr std::size_t mostReported = 512;
-constexpr std::size_t mostReportedOfAccount = 64;
+constexpr std::size_t maxReportedRequests = 512;
+constexpr std::size_t maxReportedRequestsPerAccount = 64;
 
 // The most recently seen requests of `report`: at most `maxRequests`, and at most `maxPerAccount`
 // of one account.
--- a/ramphinge/quarantine/quarantine.cpp
+++ b/ramphinge/quarantine/quarantine.cpp
@@ -35,7 +35,7 @@
     m_quarantined.clear();
     std::vector<Suspect> suspects;
     for (const RequestFingerprint &fingerprint : m_candidates)
-        suspects.push_back({ fingerprint, m_merged.at(fingerprint).counting() });
+        suspects.push_back({ fingerprint, m_merged.at(fingerprint).countedCrashes() });
     while (true) {
         std::size_t maxCrashes = 0;
         for (const Suspect &suspect : suspects)
@@ -136,7 +136,7 @@
     }
     for (const auto &[fingerprint, record] : after) {
         const auto known = before.find(fingerprint);
-        if (known == before.end() || !known->second.tellsTheSame(record))
+        if (known == before.end() || !known->second.hasSameServers(record))
             changed.insert(fingerprint);
     }
     for (const RequestFingerprint &fingerprint : changed) {
@@ -163,7 +163,7 @@
 void Quarantine::adopt(const CrashReport &report, MonotonicTime now)
 {
     for (const auto &[fingerprint, record] : report) {
-        m_own[fingerprint].unite(record);
+        m_own[fingerprint].merge(record);
         m_ownSeenAt.emplace(fingerprint, now);
         updateMerged(fingerprint);
     }
@@ -225,13 +225,13 @@
 {
     CrashRecord merged;
     if (const auto own = m_own.find(fingerprint); own != m_own.end())
-        merged.unite(own->second);
+        merged.merge(own->second);
     if (const auto reporters = m_reporters.find(fingerprint); reporters != m_reporters.end()) {
         for (const CrashReportSource &source : reporters->second)
-            merged.unite(m_reports.at(source).at(fingerprint));
+            merged.merge(m_reports.at(source).at(fingerprint));
     }
     ++m_version;
-    const int crashes = merged.ends();
+    const int crashes = merged.crashCount();
     const bool wasCandidate = m_candidates.erase(fingerprint) > 0;
     const bool isCandidate = crashes >= m_options.crashesToQuarantine;
     if (isCandidate)
--- a/ramphinge/quarantine/quarantine.h
+++ b/ramphinge/quarantine/quarantine.h
@@ -33,8 +33,8 @@
     // second crash, and each crash interrupts some ten other requests and a replica for seconds.
     int crashesToQuarantine = 2;
     // Requests in this daemon's own report.
-    std::size_t maxRequests = mostReported;
-    std::size_t maxRequestsPerAccount = mostReportedOfAccount;
+    std::size_t maxRequests = maxReportedRequests;
+    std::size_t maxRequestsPerAccount = maxReportedRequestsPerAccount;
     // Retention of an own record after its last crash. By then the caller has given up.
     Duration suspicionRetention = std::chrono::minutes(5);
     // Retention of an own record with excused crashes. Must be longer than others may report these
--- a/ramphinge/quarantine/quarantine_test.cpp
+++ b/ramphinge/quarantine/quarantine_test.cpp
@@ -274,7 +274,7 @@
     {
         m_quarantine.adopt(crashReport({ first }), m_now);
         CPPUNIT_ASSERT(crash(harmful, second));
-        CPPUNIT_ASSERT_EQUAL(2, m_quarantine.own().at(harmful).ends());
+        CPPUNIT_ASSERT_EQUAL(2, m_quarantine.own().at(harmful).crashCount());
     }
 
     void reportSurvivesARoundTrip()
@@ -285,7 +285,7 @@
         const Result<CrashReport> read = parseCrashReport(serializeCrashReport(report), 10);
         CPPUNIT_ASSERT(read.ok());
         const CrashRecord &record = read.value().at(harmful);
-        CPPUNIT_ASSERT_EQUAL(1, record.ends());
+        CPPUNIT_ASSERT_EQUAL(1, record.crashCount());
         CPPUNIT_ASSERT_EQUAL(std::string("a \"route\""), record.route);
         CPPUNIT_ASSERT_EQUAL(std::string("school"), record.account.text());
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 17 }, toUnixMilliseconds(record.lastSeen));
@@ -299,7 +299,7 @@
         const Result<CrashReport> partial =
             parseCrashReport(R"({"f":{"ended":[1,"s",[]],"excused":7,"lastSeen":"x"}})", 10);
         CPPUNIT_ASSERT(partial.ok());
-        CPPUNIT_ASSERT_EQUAL(1, partial.value().begin()->second.ends());
+        CPPUNIT_ASSERT_EQUAL(1, partial.value().begin()->second.crashCount());
         const Result<CrashReport> many = parseCrashReport(R"({"a":{},"b":{},"c":{}})", 2);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, many.value().size());
     }
