--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -385,8 +385,9 @@
             m_metrics.set(MetricName("store_calls_total").with("kind", kind),
                           static_cast<double>(calls));
         set("is_planner", m_role.holds(now) ? 1 : 0);
-        set("requests_suspected", static_cast<double>(m_dispatch.quarantine.suspects()));
-        set("requests_quarantined", static_cast<double>(m_dispatch.quarantine.held().size()));
+        set("requests_suspected", static_cast<double>(m_dispatch.quarantine.suspectCount()));
+        set("requests_quarantined",
+            static_cast<double>(m_dispatch.quarantine.quarantinedRequests().size()));
         set("loop_failures_total", static_cast<double>(m_loops.failures()));
         set("open_requests", m_callerServer->openExchanges());
         set("connections_made", static_cast<double>(m_client->connectionsMade()));
--- a/ramphinge/dispatch/crash_watch.cpp
+++ b/ramphinge/dispatch/crash_watch.cpp
@@ -55,7 +55,7 @@
     void recordCrash(const SuspectRequest &request, const Target &target)
     {
         const bool newlyQuarantined =
-            quarantine.noteEnd(request, target.host, clock.now(), clock.wallNow());
+            quarantine.noteCrash(request, target.host, clock.now(), clock.wallNow());
         log.write("server_ended_under_request", LogWeight::Failure,
                   { { "fingerprint", request.fingerprint.text() },
                     { "account", request.account.text() },
--- a/ramphinge/dispatch/crashing_request_test.cpp
+++ b/ramphinge/dispatch/crashing_request_test.cpp
@@ -118,7 +118,7 @@
             detector.connectionEnded(request("came later"), target, harness.clock.now(), timeout,
                                      yield);
         });
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, quarantine.suspects());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, quarantine.suspectCount());
         CPPUNIT_ASSERT(quarantine.own().count(RequestFingerprint("came later")) == 0);
     }
 
@@ -148,7 +148,7 @@
         harness.clock.advance(std::chrono::seconds(8));
         detector.serversChanged([](const HostId &) { return true; });
         detector.serversChanged([](const HostId &) { return false; });
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, quarantine.suspects());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, quarantine.suspectCount());
     }
 
     void completeAnswerElsewhereReleasesTheRequest()
@@ -217,8 +217,8 @@
         for (const std::string &server : servers)
             record.ended.insert(HostId(server));
         const RequestFingerprint fingerprint = fingerprintOf("", { "POST", "h", path, "body", {} });
-        harness.state.quarantine.hear(CrashReportSource("another daemon"),
-                                      { { fingerprint, record } }, harness.clock.now());
+        harness.state.quarantine.applyReport(CrashReportSource("another daemon"),
+                                             { { fingerprint, record } }, harness.clock.now());
     }
 
     // Applies a report of another daemon with enough crashes to quarantine the request.
--- a/ramphinge/dispatch/internal/proxied_request.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -308,7 +308,7 @@
 bool ProxiedRequest::isQuarantined() const
 {
     const Quarantine &quarantine = m_context.state.quarantine;
-    return !m_isTrial && !quarantine.empty() && quarantine.holds(fingerprint());
+    return !m_isTrial && !quarantine.empty() && quarantine.contains(fingerprint());
 }
 
 SuspectRequest ProxiedRequest::suspectRequest() const
@@ -331,7 +331,7 @@
     const bool isKnown = !m_context.state.quarantine.empty();
     if (!isKnown && m_incoming.message.body.size() > maxFingerprintedBytes)
         return;
-    if (m_context.state.quarantine.noteAnswered(fingerprint(), now()))
+    if (m_context.state.quarantine.noteCompleteAnswer(fingerprint(), now()))
         m_context.log.write(
             "request_cleared", LogWeight::Belief,
             { { "request", m_incoming.request.text() }, { "fingerprint", fingerprint().text() } });
--- a/ramphinge/fleet_control/quarantine_keeper.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper.cpp
@@ -69,7 +69,7 @@
     eraseIf(m_appliedRevisions, [this](const auto &applied) {
         const bool isGone = m_fleet.ownKeys.count(applied.first) == 0;
         if (isGone)
-            m_quarantine.forget(sourceOf(applied.first));
+            m_quarantine.removeReport(sourceOf(applied.first));
         return isGone;
     });
     logQuarantineChanges();
@@ -90,7 +90,7 @@
     if (key == FleetKeys::crashes(m_options.daemon))
         m_quarantine.adopt(report.value(), m_clock.now());
     else
-        m_quarantine.hear(sourceOf(key), std::move(report.value()), m_clock.now());
+        m_quarantine.applyReport(sourceOf(key), std::move(report.value()), m_clock.now());
 }
 
 void QuarantineKeeper::publish(Yield yield)
@@ -171,8 +171,8 @@
     m_nextHeldCheckAt = now + m_options.plannerCheckInterval;
     const StoreKey key = FleetKeys::heldRequests();
     const auto present = m_fleet.ownKeys.find(key);
-    const std::string text = serializeCrashReport(
-        newestOf(m_quarantine.held(), maxReportedRequests, maxReportedRequestsPerAccount));
+    const std::string text = serializeCrashReport(newestOf(
+        m_quarantine.quarantinedRequests(), maxReportedRequests, maxReportedRequestsPerAccount));
     const std::string emptyText = serializeCrashReport({});
     const std::string &presentText =
         present == m_fleet.ownKeys.end() ? emptyText : present->second.value;
@@ -187,7 +187,7 @@
     if (m_loggedVersion == m_quarantine.version())
         return;
     m_loggedVersion = m_quarantine.version();
-    const CrashReport held = m_quarantine.held();
+    const CrashReport held = m_quarantine.quarantinedRequests();
     for (const auto &[fingerprint, record] : held) {
         if (m_quarantinedSince.emplace(fingerprint, m_clock.now()).second)
             m_log.write("request_quarantined", LogWeight::Belief,
@@ -230,7 +230,7 @@
         return now - entry.second.lastSeen >= m_options.triedRetention;
     });
     CrashRecord record;
-    record.account = m_quarantine.held()[fingerprint].account;
+    record.account = m_quarantine.quarantinedRequests()[fingerprint].account;
     record.lastSeen = now;
     tried.value()[fingerprint] = record;
     if (newestOf(tried.value(), maxReportedRequests, maxReportedRequestsPerAccount).size()
--- a/ramphinge/fleet_control/quarantine_keeper_test.cpp
+++ b/ramphinge/fleet_control/quarantine_keeper_test.cpp
@@ -46,12 +46,12 @@
 
     bool recordCrash(const HostId &server)
     {
-        return quarantine().noteEnd({ crashingRequest, AccountId("school"), "route" }, server,
-                                    clock.now(), clock.wallNow());
+        return quarantine().noteCrash({ crashingRequest, AccountId("school"), "route" }, server,
+                                      clock.now(), clock.wallNow());
     }
 
     Quarantine &quarantine() { return parts.dispatch.quarantine; }
-    bool holds() { return quarantine().holds(crashingRequest); }
+    bool holds() { return quarantine().contains(crashingRequest); }
 
     DaemonParts parts;
     ManualClock &clock;
@@ -153,8 +153,8 @@
             daemons[0]->receive(yield);
             daemons[0]->publish(yield);
             daemons[1]->receive(yield);
-            CPPUNIT_ASSERT_EQUAL(3,
-                                 daemons[1]->quarantine().held().at(crashingRequest).crashCount());
+            CPPUNIT_ASSERT_EQUAL(
+                3, daemons[1]->quarantine().quarantinedRequests().at(crashingRequest).crashCount());
         });
     }
 
@@ -188,8 +188,8 @@
                 daemon->receive(yield);
             daemons[2]->publish(yield); // As planner.
             // The request was in progress there when it was quarantined.
-            CPPUNIT_ASSERT(
-                daemons[1]->quarantine().noteAnswered(crashingRequest, daemons[1]->clock.now()));
+            CPPUNIT_ASSERT(daemons[1]->quarantine().noteCompleteAnswer(crashingRequest,
+                                                                       daemons[1]->clock.now()));
             daemons[1]->publish(yield);
             for (auto &daemon : daemons) {
                 daemon->receive(yield);
--- a/ramphinge/fleet_control/quarantine_operations.cpp
+++ b/ramphinge/fleet_control/quarantine_operations.cpp
@@ -33,7 +33,8 @@
             reports.released = report.value();
             reports.releasedRevision = entry.stored.revision;
         }
-        reports.quarantine.hear(CrashReportSource(entry.key.text()), std::move(report.value()), {});
+        reports.quarantine.applyReport(CrashReportSource(entry.key.text()),
+                                       std::move(report.value()), {});
     }
     return reports;
 }
@@ -45,7 +46,7 @@
     const Result<StoredReports> reports = readReports(store, yield);
     if (!reports.ok())
         return reports.error();
-    return reports.value().quarantine.held();
+    return reports.value().quarantine.quarantinedRequests();
 }
 
 Status releaseRequest(KeyValueStore &store, const RequestFingerprint &fingerprint, Yield yield)
@@ -55,7 +56,7 @@
         Result<StoredReports> reports = readReports(store, yield);
         if (!reports.ok())
             return reports.error();
-        const CrashReport held = reports.value().quarantine.held();
+        const CrashReport held = reports.value().quarantine.quarantinedRequests();
         const auto found = held.find(fingerprint);
         if (found == held.end())
             return Error(ErrorKind::NotFound,
--- a/ramphinge/quarantine/quarantine.cpp
+++ b/ramphinge/quarantine/quarantine.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-bool Quarantine::holds(const RequestFingerprint &fingerprint) const
+bool Quarantine::contains(const RequestFingerprint &fingerprint) const
 {
     return !m_merged.empty() && quarantinedFingerprints().count(fingerprint) > 0;
 }
@@ -56,10 +56,10 @@
     }
 }
 
-bool Quarantine::noteEnd(const SuspectRequest &request, const HostId &server, MonotonicTime now,
-                         WallTime wallNow)
+bool Quarantine::noteCrash(const SuspectRequest &request, const HostId &server, MonotonicTime now,
+                           WallTime wallNow)
 {
-    const bool wasQuarantined = holds(request.fingerprint);
+    const bool wasQuarantined = contains(request.fingerprint);
     if (m_own.count(request.fingerprint) == 0)
         makeRoom(request.account);
     CrashRecord &record = m_own[request.fingerprint];
@@ -72,10 +72,10 @@
     updateMerged(request.fingerprint);
     if (wasRecentlyAnswered(request.fingerprint, now))
         excuse(request.fingerprint, now);
-    return !wasQuarantined && holds(request.fingerprint);
+    return !wasQuarantined && contains(request.fingerprint);
 }
 
-bool Quarantine::noteAnswered(const RequestFingerprint &fingerprint, MonotonicTime now)
+bool Quarantine::noteCompleteAnswer(const RequestFingerprint &fingerprint, MonotonicTime now)
 {
     if (m_answeredAt.size() < m_options.maxAnswers || m_answeredAt.count(fingerprint) > 0)
         m_answeredAt[fingerprint] = now;
@@ -125,7 +125,7 @@
     return true;
 }
 
-void Quarantine::hear(const CrashReportSource &source, CrashReport report, MonotonicTime now)
+void Quarantine::applyReport(const CrashReportSource &source, CrashReport report, MonotonicTime now)
 {
     const CrashReport before = std::exchange(m_reports[source], std::move(report));
     const CrashReport &after = m_reports[source];
@@ -147,7 +147,7 @@
     }
 }
 
-void Quarantine::forget(const CrashReportSource &source)
+void Quarantine::removeReport(const CrashReportSource &source)
 {
     const auto found = m_reports.find(source);
     if (found == m_reports.end())
@@ -184,12 +184,12 @@
             [&](const auto &entry) { return now - entry.second >= m_options.answerExcuseWindow; });
 }
 
-CrashReport Quarantine::held() const
+CrashReport Quarantine::quarantinedRequests() const
 {
-    CrashReport held;
+    CrashReport requests;
     for (const RequestFingerprint &fingerprint : quarantinedFingerprints())
-        held[fingerprint] = m_merged.at(fingerprint);
-    return held;
+        requests[fingerprint] = m_merged.at(fingerprint);
+    return requests;
 }
 
 // Makes room for another own record by dropping the oldest one if a limit is reached: the oldest of
--- a/ramphinge/quarantine/quarantine.h
+++ b/ramphinge/quarantine/quarantine.h
@@ -9,11 +9,11 @@
 // the others that ran on the server. Otherwise, popular requests would be quarantined for running
 // along with two harmful ones.
 //
-//   if (quarantine.holds(fingerprint)) refuse();
-//   quarantine.noteEnd(suspect, server, now, wallNow); // A server crashed while it ran it.
-//   quarantine.noteAnswered(fingerprint, now); // A server answered it completely.
+//   if (quarantine.contains(fingerprint)) refuse();
+//   quarantine.noteCrash(suspect, server, now, wallNow); // A server crashed while it ran it.
+//   quarantine.noteCompleteAnswer(fingerprint, now); // A server answered it completely.
 //   publish(quarantine.own()); // Whenever ownVersion() has changed.
-//   quarantine.hear(source, report, now); // A report that another daemon published.
+//   quarantine.applyReport(source, report, now); // A report that another daemon published.
 
 #pragma once
 
@@ -67,20 +67,20 @@
     bool empty() const { return m_merged.empty(); }
 
     // Whether the request is quarantined, and must not be sent to any server.
-    bool holds(const RequestFingerprint &fingerprint) const;
+    bool contains(const RequestFingerprint &fingerprint) const;
 
     // Records that the server crashed while it ran the request. True if that puts the request into
     // quarantine.
-    bool noteEnd(const SuspectRequest &request, const HostId &server, MonotonicTime now,
-                 WallTime wallNow);
+    bool noteCrash(const SuspectRequest &request, const HostId &server, MonotonicTime now,
+                   WallTime wallNow);
 
     // Records that a server answered the request completely. True if that excused crashes.
-    bool noteAnswered(const RequestFingerprint &fingerprint, MonotonicTime now);
+    bool noteCompleteAnswer(const RequestFingerprint &fingerprint, MonotonicTime now);
 
     // Replaces the source's previous report.
-    void hear(const CrashReportSource &source, CrashReport report, MonotonicTime now);
+    void applyReport(const CrashReportSource &source, CrashReport report, MonotonicTime now);
     // Drops the source's report, if there is one.
-    void forget(const CrashReportSource &source);
+    void removeReport(const CrashReportSource &source);
 
     // Continues from the report that this daemon's previous process published.
     void adopt(const CrashReport &report, MonotonicTime now);
@@ -99,9 +99,9 @@
     std::uint64_t version() const { return m_version; }
 
     // The quarantined requests, with the merged records of all reports.
-    CrashReport held() const;
+    CrashReport quarantinedRequests() const;
     // Number of suspected requests, including the quarantined ones.
-    std::size_t suspects() const { return m_merged.size(); }
+    std::size_t suspectCount() const { return m_merged.size(); }
 
 private:
     // The requests to which crashes are attributed; these are quarantined.
--- a/ramphinge/quarantine/quarantine_test.cpp
+++ b/ramphinge/quarantine/quarantine_test.cpp
@@ -118,80 +118,80 @@
     {
         CPPUNIT_ASSERT(m_quarantine.empty());
         CPPUNIT_ASSERT(!crash(harmful, first));
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
         CPPUNIT_ASSERT(crash(harmful, second));
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
-        CPPUNIT_ASSERT(!m_quarantine.holds(other));
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, m_quarantine.held().size());
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
+        CPPUNIT_ASSERT(!m_quarantine.contains(other));
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, m_quarantine.quarantinedRequests().size());
     }
 
     void countsAnIncarnationOnce()
     {
         crash(harmful, first);
         crash(harmful, first);
-        m_quarantine.hear(peer, crashReport({ first }), m_now);
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
+        m_quarantine.applyReport(peer, crashReport({ first }), m_now);
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
     }
 
     void mergesCrashesFromSeveralDaemons()
     {
-        m_quarantine.hear(peer, crashReport({ first }), m_now);
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
-        m_quarantine.hear(otherPeer, crashReport({ second }), m_now);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
+        m_quarantine.applyReport(peer, crashReport({ first }), m_now);
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
+        m_quarantine.applyReport(otherPeer, crashReport({ second }), m_now);
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
     }
 
     void completeAnswerExcusesAllKnownCrashes()
     {
-        m_quarantine.hear(peer, crashReport({ first }), m_now);
+        m_quarantine.applyReport(peer, crashReport({ first }), m_now);
         crash(harmful, second);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
-        CPPUNIT_ASSERT(m_quarantine.noteAnswered(harmful, m_now));
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
+        CPPUNIT_ASSERT(m_quarantine.noteCompleteAnswer(harmful, m_now));
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
         // A third daemon that gets both reports doesn't quarantine the request either.
         Quarantine third { QuarantineOptions() };
-        third.hear(peer, crashReport({ first, second }), m_now);
-        third.hear(otherPeer, m_quarantine.own(), m_now);
-        CPPUNIT_ASSERT(!third.holds(harmful));
+        third.applyReport(peer, crashReport({ first, second }), m_now);
+        third.applyReport(otherPeer, m_quarantine.own(), m_now);
+        CPPUNIT_ASSERT(!third.contains(harmful));
         CPPUNIT_ASSERT(third.empty());
     }
 
     void crashesAfterACompleteAnswerCount()
     {
         crash(harmful, first);
-        m_quarantine.noteAnswered(harmful, m_now);
+        m_quarantine.noteCompleteAnswer(harmful, m_now);
         m_now += std::chrono::seconds(11);
         crash(harmful, second);
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
         crash(harmful, third);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
     }
 
     // Guards against the quarantine of a popular request: two servers that run it crash at the same
     // time, and other servers answer it before the report of the crashes arrives.
     void recentAnswerExcusesCrashesReportedLater()
     {
-        CPPUNIT_ASSERT(!m_quarantine.noteAnswered(harmful, m_now));
+        CPPUNIT_ASSERT(!m_quarantine.noteCompleteAnswer(harmful, m_now));
         m_now += std::chrono::seconds(2);
-        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
+        m_quarantine.applyReport(peer, crashReport({ first, second }), m_now);
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, m_quarantine.own().at(harmful).excused.size());
     }
 
     void oldAnswerExcusesNothing()
     {
-        m_quarantine.noteAnswered(harmful, m_now);
+        m_quarantine.noteCompleteAnswer(harmful, m_now);
         m_now += std::chrono::seconds(10);
-        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
+        m_quarantine.applyReport(peer, crashReport({ first, second }), m_now);
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
     }
 
     void excusesOfOtherDaemonsCount()
     {
         crash(harmful, first);
         crash(harmful, second);
-        m_quarantine.hear(peer, crashReport({}, { first }), m_now);
-        CPPUNIT_ASSERT(!m_quarantine.holds(harmful));
+        m_quarantine.applyReport(peer, crashReport({}, { first }), m_now);
+        CPPUNIT_ASSERT(!m_quarantine.contains(harmful));
     }
 
     void crashIsAttributedToTheRequestWithMostCrashes()
@@ -201,8 +201,8 @@
             crash(other, server); // Ran on both servers.
         }
         crash(harmful, third);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
-        CPPUNIT_ASSERT(!m_quarantine.holds(other));
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
+        CPPUNIT_ASSERT(!m_quarantine.contains(other));
     }
 
     // Guards against a lasting quarantine of a popular request, which sooner or later runs along
@@ -212,14 +212,14 @@
         const RequestFingerprint alsoHarmful("f3");
         crash(other, first);
         crash(other, third);
-        CPPUNIT_ASSERT(m_quarantine.holds(other)); // Nothing else explains the crashes yet.
+        CPPUNIT_ASSERT(m_quarantine.contains(other)); // Nothing else explains the crashes yet.
         for (const char *server : { "s1", "a", "b" })
             crash(harmful, HostId(server));
         for (const char *server : { "s3", "c", "d" })
             crash(alsoHarmful, HostId(server));
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
-        CPPUNIT_ASSERT(m_quarantine.holds(alsoHarmful));
-        CPPUNIT_ASSERT(!m_quarantine.holds(other));
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
+        CPPUNIT_ASSERT(m_quarantine.contains(alsoHarmful));
+        CPPUNIT_ASSERT(!m_quarantine.contains(other));
     }
 
     void allSuspectsWithEqualCrashesAreQuarantined()
@@ -228,23 +228,23 @@
             crash(harmful, server);
             crash(other, server);
         }
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful));
-        CPPUNIT_ASSERT(m_quarantine.holds(other));
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful));
+        CPPUNIT_ASSERT(m_quarantine.contains(other));
     }
 
     void keepsReportsOfDaemonsThatAreGone()
     {
-        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
+        m_quarantine.applyReport(peer, crashReport({ first, second }), m_now);
         m_now += std::chrono::hours(1);
         m_quarantine.expire(m_now);
-        CPPUNIT_ASSERT(m_quarantine.holds(harmful)); // Until the store drops the report.
+        CPPUNIT_ASSERT(m_quarantine.contains(harmful)); // Until the store drops the report.
     }
 
     void forgottenReportIsDropped()
     {
-        m_quarantine.hear(peer, crashReport({ first, second }), m_now);
-        m_quarantine.forget(peer);
-        m_quarantine.forget(otherPeer);
+        m_quarantine.applyReport(peer, crashReport({ first, second }), m_now);
+        m_quarantine.removeReport(peer);
+        m_quarantine.removeReport(otherPeer);
         CPPUNIT_ASSERT(m_quarantine.empty());
     }
 
@@ -328,7 +328,8 @@
             std::vector<Quarantine> daemons(count, Quarantine { QuarantineOptions() });
             MonotonicTime at;
             const auto sendReport = [&](int from, int to) {
-                daemons[to].hear(CrashReportSource(std::to_string(from)), daemons[from].own(), at);
+                daemons[to].applyReport(CrashReportSource(std::to_string(from)),
+                                        daemons[from].own(), at);
             };
             const int steps = *rc::gen::inRange(0, 30);
             for (int step = 0; step < steps; ++step) {
@@ -338,13 +339,13 @@
                 const HostId host("s" + std::to_string(*rc::gen::inRange(0, 4)));
                 switch (*rc::gen::inRange(0, 4)) {
                 case 0:
-                    daemons[daemon].noteAnswered(fingerprint, at);
+                    daemons[daemon].noteCompleteAnswer(fingerprint, at);
                     break;
                 case 1:
                     sendReport(daemon, (daemon + 1) % count);
                     break;
                 default:
-                    daemons[daemon].noteEnd(request(fingerprint), host, at, WallTime());
+                    daemons[daemon].noteCrash(request(fingerprint), host, at, WallTime());
                 }
             }
             // Two rounds: a recent answer may excuse crashes that arrive in the first one.
@@ -358,8 +359,8 @@
             }
             for (const char *name : { "f0", "f1" }) {
                 const RequestFingerprint fingerprint(name);
-                RC_ASSERT(daemons[0].holds(fingerprint) == daemons[1].holds(fingerprint));
-                RC_ASSERT(daemons[0].holds(fingerprint) == daemons[2].holds(fingerprint));
+                RC_ASSERT(daemons[0].contains(fingerprint) == daemons[1].contains(fingerprint));
+                RC_ASSERT(daemons[0].contains(fingerprint) == daemons[2].contains(fingerprint));
             }
         });
         CPPUNIT_ASSERT(agreed);
@@ -369,7 +370,7 @@
     bool crash(const RequestFingerprint &fingerprint, const HostId &host,
                const std::string &account = "school")
     {
-        return m_quarantine.noteEnd(request(fingerprint, account), host, m_now, WallTime());
+        return m_quarantine.noteCrash(request(fingerprint, account), host, m_now, WallTime());
     }
 
     Quarantine m_quarantine { QuarantineOptions() };
