--- a/ramphinge/fleet_control/formation_runner.cpp
+++ b/ramphinge/fleet_control/formation_runner.cpp
@@ -32,7 +32,7 @@
     : m_io(io), m_clock(clock), m_options(options), m_store(store), m_fleet(fleet),
       m_dispatch(dispatch), m_plannerRole(role), m_channel(channel), m_log(log), m_metrics(metrics),
       m_onChange(std::move(onChange)), m_book(options.orders), m_presence(options.presence),
-      m_deaths(options.deaths)
+      m_failureDetector(options.failureDetector)
 { }
 
 void FormationRunner::run(Yield yield)
@@ -167,7 +167,8 @@
     const PlannedReplica *planned = m_fleet.plan.find(replica);
     if (planned == nullptr || planned->phase != ReplicaPhase::Ready)
         return;
-    for (const HostId &host : m_deaths.beginCheck(*planned, m_fleet.servers.servers(), now)) {
+    for (const HostId &host :
+         m_failureDetector.beginCheck(*planned, m_fleet.servers.servers(), now)) {
         const UpstreamServer *server = m_fleet.servers.find(host);
         spawnCoroutine(m_io, [this, target = *server](Yield yield) { probeServer(target, yield); });
     }
@@ -175,14 +176,14 @@
 
 void FormationRunner::probeServer(const UpstreamServer &server, Yield yield)
 {
-    for (int i = 0; i < m_options.deaths.silences; ++i) {
+    for (int i = 0; i < m_options.failureDetector.unansweredProbes; ++i) {
         const bool answers = m_channel.answers(server, m_options.probeTimeout, yield);
         m_metrics.count(MetricName("liveness_checks_total").with("answer", answers ? "yes" : "no"));
         if (answers) {
-            m_deaths.answered(server.host, m_clock.now());
+            m_failureDetector.recordAnswer(server.host, m_clock.now());
             return;
         }
-        m_deaths.silent(server.host, m_clock.now());
+        m_failureDetector.recordNoAnswer(server.host, m_clock.now());
     }
 }
 
@@ -190,7 +191,7 @@
 void FormationRunner::updatePresumedDead(MonotonicTime now)
 {
     const ServerMap &servers = m_fleet.servers.servers();
-    std::set<HostId> dead = m_deaths.dead(servers, now);
+    std::set<HostId> dead = m_failureDetector.dead(servers, now);
     for (const HostId &host : dead) {
         if (m_presumedDead.count(host) == 0)
             m_log.write("server_silent", LogWeight::Belief, { { "host", host.text() } });
--- a/ramphinge/fleet_control/formation_runner.h
+++ b/ramphinge/fleet_control/formation_runner.h
@@ -7,7 +7,7 @@
 
 #include "ramphinge/fleet_control/fleet_state.h"
 #include "ramphinge/fleet_control/key_holder.h"
-#include "ramphinge/formation/death_watch.h"
+#include "ramphinge/formation/failure_detector.h"
 #include "ramphinge/formation/order_book.h"
 #include "ramphinge/formation/presence.h"
 #include "ramphinge/observe/decision_log.h"
@@ -24,7 +24,7 @@
     Duration orderTimeout = std::chrono::milliseconds(700);
     // For a liveness probe: a server answers it without queueing, within milliseconds.
     Duration probeTimeout = std::chrono::milliseconds(300);
-    DeathWatchOptions deaths;
+    FailureDetectorOptions failureDetector;
     PresenceOptions presence;
     OrderBookOptions orders;
 };
@@ -87,7 +87,7 @@
     std::function<void()> m_onChange;
     OrderBook m_book;
     Presence m_presence;
-    DeathWatch m_deaths;
+    FailureDetector m_failureDetector;
     std::set<HostId> m_presumedDead; // Servers that are presumed dead although their entries exist.
     ServerMap m_presumedAlive; // The view without m_presumedDead; empty if that is.
     std::map<StoreKey, Revision> m_suspicionRevisions; // Last processed one of each daemon's key.
--- a/ramphinge/formation/death_watch.cpp
+++ b/ramphinge/formation/failure_detector.cpp
@@ -1,6 +1,6 @@
-// Detection of dead servers by probes: see death_watch.h.
+// Detection of dead servers by probes: see failure_detector.h.
 
-#include "ramphinge/formation/death_watch.h"
+#include "ramphinge/formation/failure_detector.h"
 
 #include <algorithm>
 
@@ -8,8 +8,8 @@
 
 namespace ramphinge {
 
-std::vector<HostId> DeathWatch::beginCheck(const PlannedReplica &replica, const ServerMap &servers,
-                                           MonotonicTime now)
+std::vector<HostId> FailureDetector::beginCheck(const PlannedReplica &replica,
+                                                const ServerMap &servers, MonotonicTime now)
 {
     eraseIf(m_checkedAt,
             [&](const auto &entry) { return now - entry.second >= m_options.checkInterval; });
@@ -39,7 +39,7 @@
     return hosts;
 }
 
-void DeathWatch::dropExpired(MonotonicTime now)
+void FailureDetector::dropExpired(MonotonicTime now)
 {
     eraseIf(m_unresponsive, [&](const auto &entry) {
         return now - entry.second.last >= m_options.verdictLifetime;
@@ -48,13 +48,13 @@
             [&](const auto &entry) { return now - entry.second >= m_options.verdictLifetime; });
 }
 
-void DeathWatch::answered(const HostId &host, MonotonicTime now)
+void FailureDetector::recordAnswer(const HostId &host, MonotonicTime now)
 {
     m_unresponsive.erase(host);
     m_answeredAt[host] = now;
 }
 
-void DeathWatch::silent(const HostId &host, MonotonicTime now)
+void FailureDetector::recordNoAnswer(const HostId &host, MonotonicTime now)
 {
     UnansweredProbes &unanswered = m_unresponsive[host];
     if (unanswered.consecutive == 0 || now - unanswered.last > m_options.verdictLifetime)
@@ -63,8 +63,8 @@
     unanswered.last = now;
 }
 
-bool DeathWatch::zoneAnsweredSince(const ZoneId &zone, MonotonicTime since,
-                                   const ServerMap &servers) const
+bool FailureDetector::zoneAnsweredSince(const ZoneId &zone, MonotonicTime since,
+                                        const ServerMap &servers) const
 {
     return std::any_of(m_answeredAt.begin(), m_answeredAt.end(), [&](const auto &entry) {
         const auto server = servers.find(entry.first);
@@ -72,14 +72,14 @@
     });
 }
 
-std::set<HostId> DeathWatch::dead(const ServerMap &servers, MonotonicTime now) const
+std::set<HostId> FailureDetector::dead(const ServerMap &servers, MonotonicTime now) const
 {
     // Reference servers answer shortly before the first probe of a dead server times out.
     const Duration answerLead = m_options.checkInterval;
     std::set<HostId> hosts;
     for (const auto &[host, unanswered] : m_unresponsive) {
         const auto server = servers.find(host);
-        if (server != servers.end() && unanswered.consecutive >= m_options.silences
+        if (server != servers.end() && unanswered.consecutive >= m_options.unansweredProbes
             && now - unanswered.last < m_options.verdictLifetime
             && zoneAnsweredSince(server->second.zone, unanswered.since - answerLead, servers))
             hosts.insert(host);
--- a/ramphinge/formation/death_watch.h
+++ b/ramphinge/formation/failure_detector.h
@@ -5,10 +5,10 @@
 // otherwise the planner itself may be partitioned from that zone. The verdict expires after a few
 // seconds; by then the entry of a dead server has lapsed.
 //
-//   for (const HostId &host : watch.beginCheck(replica, servers, now)) {
-//       ask(host) ? watch.answered(host, now) : watch.silent(host, now);
+//   for (const HostId &host : detector.beginCheck(replica, servers, now)) {
+//       ask(host) ? detector.recordAnswer(host, now) : detector.recordNoAnswer(host, now);
 //   }
-//   const std::set<HostId> dead = watch.dead(servers, now);
+//   const std::set<HostId> dead = detector.dead(servers, now);
 
 #pragma once
 
@@ -22,10 +22,10 @@
 
 namespace ramphinge {
 
-struct DeathWatchOptions
+struct FailureDetectorOptions
 {
     // A server is taken for dead after this many unanswered probes in a row.
-    int silences = 2;
+    int unansweredProbes = 2;
     // How long the verdict holds. Longer than a dead server's entry needs to lapse: three
     // heartbeats, some 4 s.
     Duration verdictLifetime = std::chrono::seconds(6);
@@ -37,10 +37,10 @@
 };
 
 // Not thread-safe: lives on the event loop.
-class DeathWatch
+class FailureDetector
 {
 public:
-    explicit DeathWatch(DeathWatchOptions options) : m_options(options) { }
+    explicit FailureDetector(FailureDetectorOptions options) : m_options(options) { }
 
     // The servers to probe for the replica: its members that are in `servers` and a few reference
     // servers. Empty if the replica was checked within the check interval.
@@ -48,8 +48,8 @@
                                    MonotonicTime now);
 
     // The outcome of one probe of the host.
-    void answered(const HostId &host, MonotonicTime now);
-    void silent(const HostId &host, MonotonicTime now);
+    void recordAnswer(const HostId &host, MonotonicTime now);
+    void recordNoAnswer(const HostId &host, MonotonicTime now);
 
     // Those of `servers` that are taken for dead at `now`.
     std::set<HostId> dead(const ServerMap &servers, MonotonicTime now) const;
@@ -65,7 +65,7 @@
     void dropExpired(MonotonicTime now);
     bool zoneAnsweredSince(const ZoneId &zone, MonotonicTime since, const ServerMap &servers) const;
 
-    DeathWatchOptions m_options;
+    FailureDetectorOptions m_options;
     // The last check of each replica; dropped after `checkInterval`.
     std::map<ReplicaId, MonotonicTime> m_checkedAt;
     // Both reach back as far as a verdict holds; older entries are dropped.
--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -6,7 +6,7 @@
 
 #include <rapidcheck.h>
 
-#include "ramphinge/formation/death_watch.h"
+#include "ramphinge/formation/failure_detector.h"
 #include "ramphinge/formation/order_book.h"
 #include "ramphinge/formation/presence.h"
 #include "ramphinge/testing/cppunit_main.h"
@@ -587,28 +587,28 @@
 
     void unresponsiveServerIsDeadOnlyIfItsZoneAnswers()
     {
-        const DeathWatchOptions options;
-        DeathWatch watch(options);
+        const FailureDetectorOptions options;
+        FailureDetector detector(options);
         const ServerMap servers = serversInTwoDomains();
         MonotonicTime now { std::chrono::seconds(100) };
-        const HostId silent("a-0");
-        watch.silent(silent, now);
+        const HostId unresponsive("a-0");
+        detector.recordNoAnswer(unresponsive, now);
         now += std::chrono::milliseconds(300);
-        watch.silent(silent, now);
-        CPPUNIT_ASSERT(watch.dead(servers, now).empty()); // The planner may be partitioned.
-        watch.answered(HostId("b-0"), now);
-        CPPUNIT_ASSERT(watch.dead(servers, now) == std::set<HostId> { silent });
-        CPPUNIT_ASSERT(watch.dead(servers, now + options.verdictLifetime).empty());
-        watch.answered(silent, now);
-        CPPUNIT_ASSERT(watch.dead(servers, now).empty());
-        watch.silent(silent, now); // One unanswered probe is not enough.
-        CPPUNIT_ASSERT(watch.dead(servers, now).empty());
+        detector.recordNoAnswer(unresponsive, now);
+        CPPUNIT_ASSERT(detector.dead(servers, now).empty()); // The planner may be partitioned.
+        detector.recordAnswer(HostId("b-0"), now);
+        CPPUNIT_ASSERT(detector.dead(servers, now) == std::set<HostId> { unresponsive });
+        CPPUNIT_ASSERT(detector.dead(servers, now + options.verdictLifetime).empty());
+        detector.recordAnswer(unresponsive, now);
+        CPPUNIT_ASSERT(detector.dead(servers, now).empty());
+        detector.recordNoAnswer(unresponsive, now); // One unanswered probe is not enough.
+        CPPUNIT_ASSERT(detector.dead(servers, now).empty());
     }
 
     void checkProbesReferenceServersOncePerInterval()
     {
-        const DeathWatchOptions options;
-        DeathWatch watch(options);
+        const FailureDetectorOptions options;
+        FailureDetector detector(options);
         const ServerMap servers = serversInTwoDomains();
         PlannedReplica replica;
         replica.replica = ReplicaId("r");
@@ -617,9 +617,9 @@
         const MonotonicTime now { std::chrono::seconds(100) };
         const std::vector<HostId> asked { HostId("a-0"), HostId("a-1"), HostId("b-0"),
                                           HostId("b-1") };
-        CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now) == asked);
-        CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now).empty());
-        CPPUNIT_ASSERT(watch.beginCheck(replica, servers, now + options.checkInterval) == asked);
+        CPPUNIT_ASSERT(detector.beginCheck(replica, servers, now) == asked);
+        CPPUNIT_ASSERT(detector.beginCheck(replica, servers, now).empty());
+        CPPUNIT_ASSERT(detector.beginCheck(replica, servers, now + options.checkInterval) == asked);
     }
 
     // A server's staged model is evicted by another one; staging it again is another load and
