--- a/ramphinge/fleet_control/fleet_control_test.cpp
+++ b/ramphinge/fleet_control/fleet_control_test.cpp
@@ -133,8 +133,8 @@
             env.step(yield);
             env.step(yield);
             CPPUNIT_ASSERT_EQUAL(before + 2, env.channel.sent);
-            const auto ledger = parseLedger(*env.store.value(FleetKeys::orders()));
-            CPPUNIT_ASSERT_EQUAL(std::size_t(2), ledger.value().loads.size());
+            const auto pendingOrders = parsePendingOrders(*env.store.value(FleetKeys::orders()));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(2), pendingOrders.value().loads.size());
         });
     }
 
@@ -220,9 +220,9 @@
             CPPUNIT_ASSERT(planned != nullptr && planned->phase == ReplicaPhase::Ready);
             const std::optional<std::string> text = env.store.value(FleetKeys::orders());
             CPPUNIT_ASSERT_MESSAGE("joins of the other planner are written down", text);
-            const auto ledger = parseLedger(*text);
+            const auto pendingOrders = parsePendingOrders(*text);
             for (const HostId &host : others.hosts)
-                CPPUNIT_ASSERT(ledger.value().unansweredJoins.count(host) > 0);
+                CPPUNIT_ASSERT(pendingOrders.value().unansweredJoins.count(host) > 0);
         });
     }
 
--- a/ramphinge/fleet_control/formation_runner.cpp
+++ b/ramphinge/fleet_control/formation_runner.cpp
@@ -31,7 +31,7 @@
                                  Metrics &metrics, std::function<void()> onChange)
     : m_io(io), m_clock(clock), m_options(options), m_store(store), m_fleet(fleet),
       m_dispatch(dispatch), m_plannerRole(role), m_channel(channel), m_log(log), m_metrics(metrics),
-      m_onChange(std::move(onChange)), m_book(options.orders), m_presence(options.presence),
+      m_onChange(std::move(onChange)), m_orderTracker(options.orders), m_presence(options.presence),
       m_failureDetector(options.failureDetector)
 { }
 
@@ -47,9 +47,9 @@
 void FormationRunner::beginTerm()
 {
     m_roleLease = m_plannerRole.lease();
-    m_book = OrderBook(m_options.orders);
+    m_orderTracker = OrderTracker(m_options.orders);
     m_hasPredecessor = !m_fleet.plan.replicas.empty();
-    m_ledgerRevision = absentRevision;
+    m_pendingOrdersRevision = absentRevision;
     m_writtenLedger = {};
     m_uncertainLedger.clear();
     // The predecessor's ledger lacks the replicas that it was forming.
@@ -61,11 +61,11 @@
     return m_plannerRole.holds(now) && m_plannerRole.lease() == m_roleLease;
 }
 
-void FormationRunner::adopt(const OrderLedger &ledger)
+void FormationRunner::adopt(const PendingOrders &pendingOrders)
 {
     for (const ServiceEntry &service : m_dispatch.catalog->services()) {
         if (service.engine)
-            m_book.adopt(ledger, m_fleet.plan, *service.engine, m_clock.now());
+            m_orderTracker.adopt(pendingOrders, m_fleet.plan, *service.engine, m_clock.now());
     }
 }
 
@@ -74,64 +74,65 @@
 void FormationRunner::adoptStoredOrders()
 {
     const auto found = m_fleet.ownKeys.find(FleetKeys::orders());
-    if (found == m_fleet.ownKeys.end() || found->second.revision == m_ledgerRevision)
+    if (found == m_fleet.ownKeys.end() || found->second.revision == m_pendingOrdersRevision)
         return;
-    m_ledgerRevision = found->second.revision;
+    m_pendingOrdersRevision = found->second.revision;
     if (found->second.value == m_uncertainLedger)
         return; // This planner's own write, whose orders were not sent.
-    const Result<OrderLedger> ledger = parseLedger(found->second.value);
-    if (!ledger.ok()) {
-        m_log.write(
-            "orders_unreadable", LogWeight::Belief,
-            { { "revision", m_ledgerRevision.count() }, { "why", ledger.error().message() } });
+    const Result<PendingOrders> pendingOrders = parsePendingOrders(found->second.value);
+    if (!pendingOrders.ok()) {
+        m_log.write("orders_unreadable", LogWeight::Belief,
+                    { { "revision", m_pendingOrdersRevision.count() },
+                      { "why", pendingOrders.error().message() } });
         return;
     }
-    adopt(ledger.value());
+    adopt(pendingOrders.value());
     m_log.write("orders_adopted", LogWeight::Belief,
-                { { "revision", m_ledgerRevision.count() },
-                  { "loads", ledger.value().loads.size() },
-                  { "unanswered_joins", ledger.value().unansweredJoins.size() } });
+                { { "revision", m_pendingOrdersRevision.count() },
+                  { "loads", pendingOrders.value().loads.size() },
+                  { "unanswered_joins", pendingOrders.value().unansweredJoins.size() } });
 }
 
 // Records the unanswered joins in the store before the replicas that are ready in `next` are
 // opened. Returns false if that failed.
 bool FormationRunner::persistUnansweredJoins(const ReplicaPlan &next, Yield yield)
 {
-    const OrderLedger ledger = m_book.ledger(next, m_clock.now());
+    const PendingOrders pendingOrders = m_orderTracker.pendingOrders(next, m_clock.now());
     const auto isWritten = [this](const auto &join) {
         const auto found = m_writtenLedger.unansweredJoins.find(join.first);
         return found != m_writtenLedger.unansweredJoins.end() && found->second == join.second;
     };
-    const auto &joins = ledger.unansweredJoins;
-    return std::all_of(joins.begin(), joins.end(), isWritten) || writeLedger(ledger, yield);
+    const auto &joins = pendingOrders.unansweredJoins;
+    return std::all_of(joins.begin(), joins.end(), isWritten)
+        || writePendingOrders(pendingOrders, yield);
 }
 
 // Records the loads in `due` in the store before they are ordered. Returns false if that failed.
 bool FormationRunner::persistLoads(const std::vector<ServerOrder> &due, Yield yield)
 {
-    OrderLedger ledger = m_book.ledger(m_fleet.plan, m_clock.now());
+    PendingOrders pendingOrders = m_orderTracker.pendingOrders(m_fleet.plan, m_clock.now());
     for (const ServerOrder &order : due)
-        ledger.loads[order.host] = order.model;
-    return writeLedger(ledger, yield);
+        pendingOrders.loads[order.host] = order.model;
+    return writePendingOrders(pendingOrders, yield);
 }
 
-bool FormationRunner::writeLedger(const OrderLedger &ledger, Yield yield)
+bool FormationRunner::writePendingOrders(const PendingOrders &pendingOrders, Yield yield)
 {
-    const std::string text = serialize(ledger);
+    const std::string text = serialize(pendingOrders);
     const Result<Revision> written =
-        m_store.commit({ { FleetKeys::orders(), text, m_ledgerRevision } }, yield);
+        m_store.commit({ { FleetKeys::orders(), text, m_pendingOrdersRevision } }, yield);
     if (!written.ok()) {
         // A conflict proves that this ledger was not written; it may have conflicted with an
         // earlier uncertain one.
         if (written.error().kind() != ErrorKind::Conflict)
             m_uncertainLedger = text;
-        m_log.write(
-            "orders_not_written", LogWeight::Belief,
-            { { "expected", m_ledgerRevision.count() }, { "why", written.error().message() } });
+        m_log.write("orders_not_written", LogWeight::Belief,
+                    { { "expected", m_pendingOrdersRevision.count() },
+                      { "why", written.error().message() } });
         return false;
     }
-    m_writtenLedger = ledger;
-    m_ledgerRevision = written.value();
+    m_writtenLedger = pendingOrders;
+    m_pendingOrdersRevision = written.value();
     m_fleet.noteWritten(FleetKeys::orders(), { text, written.value() });
     return true;
 }
@@ -233,8 +234,8 @@
         rereadPlan(yield);
         return;
     }
-    m_book.setTrafficSeen(m_dispatch.sawRequest || m_hasPredecessor);
-    m_book.observe(m_fleet.servers.servers(), m_fleet.plan, now);
+    m_orderTracker.setTrafficSeen(m_dispatch.sawRequest || m_hasPredecessor);
+    m_orderTracker.observe(m_fleet.servers.servers(), m_fleet.plan, now);
     const CatalogPointer catalog = m_dispatch.catalog; // Kept alive while this waits for the store.
     adoptStoredOrders();
     for (const ServiceEntry &service : catalog->services()) {
@@ -247,7 +248,7 @@
 // pause in requests: no orders are sent to them.
 std::set<HostId> FormationRunner::unusable(MonotonicTime now) const
 {
-    std::set<HostId> hosts = m_book.unusable(m_fleet.servers.servers(), now);
+    std::set<HostId> hosts = m_orderTracker.unusable(m_fleet.servers.servers(), now);
     const ServerBackoffs &backoffs = m_dispatch.gate.backoffs();
     for (const auto &[host, server] : m_fleet.servers.servers()) {
         if (backoffs.isBackingOff(host, now))
@@ -263,11 +264,11 @@
                            m_presumedDead.empty() ? m_fleet.servers.servers() : m_presumedAlive,
                            {},
                            unusable(now),
-                           m_book.failed(m_fleet.plan, *service.engine, now),
+                           m_orderTracker.failed(m_fleet.plan, *service.engine, now),
                            m_presence.settled(now),
                            m_presence.forgotten(m_fleet.plan, now),
-                           m_book.joinsMayLoad(),
-                           m_book.loading() };
+                           m_orderTracker.joinsMayLoad(),
+                           m_orderTracker.loading() };
     const double busy = m_dispatch.demand.busyServers(*service.engine, countServers(input),
                                                       m_fleet.daemonCount(), now);
     for (const ModelProfile &model : service.engine->models) {
@@ -301,13 +302,14 @@
         return;
     const FormationInput input = inputFor(service, now);
     logSummary(service, input);
-    std::vector<ServerOrder> due = m_book.due(ordersFor(m_fleet.plan, input), *service.engine, now);
+    std::vector<ServerOrder> due =
+        m_orderTracker.due(ordersFor(m_fleet.plan, input), *service.engine, now);
     const auto loads = [](const ServerOrder &order) { return order.needsLoad; };
     const auto firstLoad = std::stable_partition(due.begin(), due.end(), std::not_fn(loads));
     for (auto order = due.begin(); order != firstLoad; ++order)
         send(*order, *service.engine);
     due.erase(due.begin(), firstLoad);
-    if (due.empty() || !(m_book.joinsMayLoad() || persistLoads(due, yield)))
+    if (due.empty() || !(m_orderTracker.joinsMayLoad() || persistLoads(due, yield)))
         return;
     if (!isStillPlanner(m_clock.now()))
         return;
@@ -394,7 +396,7 @@
                 { { "servers", servers },
                   { "idle", idle },
                   { "shares", shares },
-                  { "loads_allowed", m_book.loadsAllowed(*service.engine, now) },
+                  { "loads_allowed", m_orderTracker.loadsAllowed(*service.engine, now) },
                   { "plan_epoch", m_fleet.plan.epoch.count() },
                   { "plan_revision", m_fleet.planRevision.count() } });
 }
@@ -426,7 +428,7 @@
     const UpstreamServer *server = m_fleet.servers.find(order.host);
     if (server == nullptr)
         return;
-    m_book.sent(order, engine, m_clock.now());
+    m_orderTracker.sent(order, engine, m_clock.now());
     spawnCoroutine(m_io,
                    [this, target = *server, order](Yield yield) { deliver(target, order, yield); });
 }
@@ -437,7 +439,7 @@
     const OrderAnswer answer =
         m_channel.send(server, order, m_fleet.plan.epoch, m_options.orderTimeout, yield);
     const MonotonicTime now = m_clock.now();
-    m_book.answered(order, answer, now);
+    m_orderTracker.answered(order, answer, now);
     m_metrics.count(MetricName("orders_total")
                         .with("kind", toString(order.kind))
                         .with("answer", toString(answer)));
--- a/ramphinge/fleet_control/formation_runner.h
+++ b/ramphinge/fleet_control/formation_runner.h
@@ -8,7 +8,7 @@
 #include "ramphinge/fleet_control/fleet_state.h"
 #include "ramphinge/fleet_control/key_holder.h"
 #include "ramphinge/formation/failure_detector.h"
-#include "ramphinge/formation/order_book.h"
+#include "ramphinge/formation/order_tracker.h"
 #include "ramphinge/formation/presence.h"
 #include "ramphinge/observe/decision_log.h"
 #include "ramphinge/observe/metrics.h"
@@ -26,7 +26,7 @@
     Duration probeTimeout = std::chrono::milliseconds(300);
     FailureDetectorOptions failureDetector;
     PresenceOptions presence;
-    OrderBookOptions orders;
+    OrderTrackerOptions orders;
 };
 
 // Lives on the event loop.
@@ -55,11 +55,11 @@
     void checkReplica(const ReplicaId &replica, MonotonicTime now);
     void probeServer(const UpstreamServer &server, Yield yield);
     void updatePresumedDead(MonotonicTime now);
-    void adopt(const OrderLedger &ledger);
+    void adopt(const PendingOrders &pendingOrders);
     void adoptStoredOrders();
     bool persistUnansweredJoins(const ReplicaPlan &next, Yield yield);
     bool persistLoads(const std::vector<ServerOrder> &due, Yield yield);
-    bool writeLedger(const OrderLedger &ledger, Yield yield);
+    bool writePendingOrders(const PendingOrders &pendingOrders, Yield yield);
     void planService(const ServiceEntry &service, Yield yield);
     // Capacity of the model, in servers, that is unavailable since heads of its replicas limit
     // their rate.
@@ -85,15 +85,16 @@
     DecisionLog &m_log;
     Metrics &m_metrics;
     std::function<void()> m_onChange;
-    OrderBook m_book;
+    OrderTracker m_orderTracker;
     Presence m_presence;
     FailureDetector m_failureDetector;
     std::set<HostId> m_presumedDead; // Servers that are presumed dead although their entries exist.
     ServerMap m_presumedAlive; // The view without m_presumedDead; empty if that is.
     std::map<StoreKey, Revision> m_suspicionRevisions; // Last processed one of each daemon's key.
     MonotonicTime m_lastSummaryAt; // The last summary in the log.
-    Revision m_ledgerRevision; // Of the ledger that m_book reflects; absentRevision for none.
-    OrderLedger m_writtenLedger; // As last written by this planner.
+    Revision
+        m_pendingOrdersRevision; // Of the ledger that m_book reflects; absentRevision for none.
+    PendingOrders m_writtenLedger; // As last written by this planner.
     // Its write failed but may have taken effect; its orders were not sent.
     std::string m_uncertainLedger;
     // The lease under which this daemon is the planner; noLease while it isn't. If the role's lease
--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -7,7 +7,7 @@
 #include <rapidcheck.h>
 
 #include "ramphinge/formation/failure_detector.h"
-#include "ramphinge/formation/order_book.h"
+#include "ramphinge/formation/order_tracker.h"
 #include "ramphinge/formation/presence.h"
 #include "ramphinge/testing/cppunit_main.h"
 #include "testing/fleet_emulator.h"
@@ -40,16 +40,16 @@
 {
 public:
     explicit Simulation(std::uint64_t seed, int domains = 6, int serversPerDomain = 10)
-        : engine(twoModels()), fleet(service, engine, seed), m_book({}), m_presence({})
+        : engine(twoModels()), fleet(service, engine, seed), m_tracker({}), m_presence({})
     {
         fleet.addServers(domains, serversPerDomain);
-        m_book.setTrafficSeen(false);
+        m_tracker.setTrafficSeen(false);
     }
 
     void startTraffic()
     {
         m_traffic = true;
-        m_book.setTrafficSeen(true);
+        m_tracker.setTrafficSeen(true);
         fleet.startTraffic();
     }
 
@@ -57,10 +57,10 @@
     // stored.
     void replacePlanner()
     {
-        const OrderLedger ledger = m_book.ledger(plan, fleet.now());
-        m_book = OrderBook({});
-        m_book.setTrafficSeen(m_traffic);
-        m_book.adopt(ledger, plan, engine, fleet.now());
+        const PendingOrders pendingOrders = m_tracker.pendingOrders(plan, fleet.now());
+        m_tracker = OrderTracker({});
+        m_tracker.setTrafficSeen(m_traffic);
+        m_tracker.adopt(pendingOrders, plan, engine, fleet.now());
         m_presence = Presence({});
     }
 
@@ -71,15 +71,15 @@
         refreshView();
         const ServerMap &view = m_view.servers();
         m_presence.observe(m_view, now);
-        m_book.observe(view, plan, now);
+        m_tracker.observe(view, plan, now);
         if (plan.replicas.empty() && m_presence.isGathering(now))
             return;
         plan = nextFormation(plan, input(view));
         CPPUNIT_ASSERT(checkPlan(plan).ok());
         const FormationInput after = input(view);
-        for (const ServerOrder &order : m_book.due(ordersFor(plan, after), engine, now)) {
-            m_book.sent(order, engine, now);
-            m_book.answered(order, fleet.order(order), now);
+        for (const ServerOrder &order : m_tracker.due(ordersFor(plan, after), engine, now)) {
+            m_tracker.sent(order, engine, now);
+            m_tracker.answered(order, fleet.order(order), now);
         }
         maxConcurrentLoads = std::max(maxConcurrentLoads, fleet.loadsInProgress());
     }
@@ -134,16 +134,16 @@
                  engine,
                  view,
                  demand,
-                 m_book.unusable(view, now),
-                 m_book.failed(plan, engine, now),
+                 m_tracker.unusable(view, now),
+                 m_tracker.failed(plan, engine, now),
                  m_presence.settled(now),
                  m_presence.forgotten(plan, now),
-                 m_book.joinsMayLoad(),
-                 m_book.loading() };
+                 m_tracker.joinsMayLoad(),
+                 m_tracker.loading() };
     }
 
     FleetView m_view;
-    OrderBook m_book;
+    OrderTracker m_tracker;
     Presence m_presence;
     bool m_traffic = false;
 };
@@ -455,7 +455,7 @@
     void loadsThatCanWaitLeaveStoreCapacity()
     {
         const EngineProfile engine = twoModels();
-        OrderBook book({});
+        OrderTracker tracker({});
         const MonotonicTime now { std::chrono::seconds(100) };
         std::vector<ServerOrder> orders;
         const auto stage = [&orders](const std::string &host, bool canWait) {
@@ -470,15 +470,15 @@
         };
         for (int i = 0; i < 10; ++i)
             stage("serves-" + std::to_string(i), true);
-        for (const ServerOrder &order : book.due(orders, engine, now)) {
-            book.sent(order, engine, now);
-            book.answered(order, OrderAnswer::Begun, now);
+        for (const ServerOrder &order : tracker.due(orders, engine, now)) {
+            tracker.sent(order, engine, now);
+            tracker.answered(order, OrderAnswer::Begun, now);
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), book.loading().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), tracker.loading().size());
         orders.clear();
         for (int i = 0; i < 10; ++i)
             stage("idle-" + std::to_string(i), false);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(5), book.due(orders, engine, now).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(5), tracker.due(orders, engine, now).size());
     }
 
     // Every domain gets two more empty servers. Guards against pairs of the small model, which has
@@ -573,12 +573,12 @@
 
     void pendingOrdersRoundTrip()
     {
-        const OrderLedger ledger { { { HostId("a"), large }, { HostId("b"), small } },
-                                   { { HostId("c"), ReplicaId("r") } } };
-        CPPUNIT_ASSERT(parseLedger(serialize(ledger)).value() == ledger);
+        const PendingOrders pendingOrders { { { HostId("a"), large }, { HostId("b"), small } },
+                                            { { HostId("c"), ReplicaId("r") } } };
+        CPPUNIT_ASSERT(parsePendingOrders(serialize(pendingOrders)).value() == pendingOrders);
         for (const char *damaged :
              { "[]", "{", "{\"loads\":{}}", "{\"loads\":{\"a\":1},\"unansweredJoins\":{}}" })
-            CPPUNIT_ASSERT(!parseLedger(damaged).ok());
+            CPPUNIT_ASSERT(!parsePendingOrders(damaged).ok());
     }
 
     // With this seed an unanswered join brought its server back into a replica whose partitioned
@@ -627,7 +627,7 @@
     void restagingAModelIsAnotherLoad()
     {
         const EngineProfile engine = twoModels();
-        OrderBook book({});
+        OrderTracker tracker({});
         MonotonicTime now { std::chrono::seconds(100) };
         std::vector<ServerOrder> orders;
         ServerMap servers;
@@ -637,23 +637,23 @@
             servers[host].host = host;
         }
         const auto sendDue = [&] {
-            const std::vector<ServerOrder> due = book.due(orders, engine, now);
+            const std::vector<ServerOrder> due = tracker.due(orders, engine, now);
             for (const ServerOrder &order : due) {
-                book.sent(order, engine, now);
-                book.answered(order, OrderAnswer::Begun, now);
+                tracker.sent(order, engine, now);
+                tracker.answered(order, OrderAnswer::Begun, now);
             }
             return static_cast<int>(due.size());
         };
-        book.setTrafficSeen(false);
+        tracker.setTrafficSeen(false);
         CPPUNIT_ASSERT_EQUAL(20, sendDue());
         for (auto &[host, server] : servers)
             server.stagedModels = { large };
-        book.observe(servers, {}, now);
-        book.setTrafficSeen(true);
+        tracker.observe(servers, {}, now);
+        tracker.setTrafficSeen(true);
         now += std::chrono::minutes(1);
         for (auto &[host, server] : servers)
             server.stagedModels = { small };
-        book.observe(servers, {}, now);
+        tracker.observe(servers, {}, now);
         CPPUNIT_ASSERT_EQUAL(engine.loadsAtOnce, sendDue());
         CPPUNIT_ASSERT_EQUAL(0, sendDue());
     }
@@ -738,21 +738,22 @@
     // A join sent to the earlier incarnation may be carried out by the later one.
     void restartedServerWaitsForJoinsToItsPredecessor()
     {
-        OrderBook book({});
+        OrderTracker tracker({});
         const MonotonicTime now(std::chrono::seconds(100));
         const HostId earlier = hostIdOf({ ServerName("s"), StartTime(5) });
         const HostId later = hostIdOf({ ServerName("s"), StartTime(9) });
         const HostId other = hostIdOf({ ServerName("t"), StartTime(5) });
-        OrderLedger ledger;
-        ledger.unansweredJoins[earlier] = ReplicaId("r");
-        book.adopt(ledger, {}, twoModels(), now);
+        PendingOrders pendingOrders;
+        pendingOrders.unansweredJoins[earlier] = ReplicaId("r");
+        tracker.adopt(pendingOrders, {}, twoModels(), now);
         ServerMap servers;
         for (const HostId &host : { later, other })
             servers[host].host = host;
-        const std::set<HostId> unusable = book.unusable(servers, now);
+        const std::set<HostId> unusable = tracker.unusable(servers, now);
         CPPUNIT_ASSERT(unusable.count(later) == 1);
         CPPUNIT_ASSERT(unusable.count(other) == 0);
-        CPPUNIT_ASSERT(book.unusable(servers, now + OrderBookOptions().lateJoinWindow).empty());
+        CPPUNIT_ASSERT(
+            tracker.unusable(servers, now + OrderTrackerOptions().lateJoinWindow).empty());
     }
 
     void randomRestartsViolateNoInvariant()
--- a/ramphinge/formation/load_backoff_test.cpp
+++ b/ramphinge/formation/load_backoff_test.cpp
@@ -1,7 +1,7 @@
 // Tests of the backoff of model loads that crash servers.
 
 #include "ramphinge/formation/load_backoff.h"
-#include "ramphinge/formation/order_book.h"
+#include "ramphinge/formation/order_tracker.h"
 #include "ramphinge/testing/cppunit_main.h"
 
 using namespace ramphinge;
@@ -106,7 +106,7 @@
     int crashesInAMinute(const ModelId &model)
     {
         const EngineProfile engine = twoModels();
-        OrderBook book { OrderBookOptions() };
+        OrderTracker tracker { OrderTrackerOptions() };
         ServerMap servers;
         std::vector<ServerOrder> wanted;
         for (int i = 0; i < 40; ++i) {
@@ -128,16 +128,16 @@
                 ++recordCrash;
                 at = crashAt.erase(at);
             }
-            book.observe(servers, {}, m_now);
+            tracker.observe(servers, {}, m_now);
             std::vector<ServerOrder> orders;
             for (const ServerOrder &order : wanted) {
                 const auto found = servers.find(order.host);
                 if (found != servers.end() && !found->second.hasStaged(model))
                     orders.push_back(order);
             }
-            for (const ServerOrder &order : book.due(orders, engine, m_now)) {
-                book.sent(order, engine, m_now);
-                book.answered(order, OrderAnswer::Begun, m_now);
+            for (const ServerOrder &order : tracker.due(orders, engine, m_now)) {
+                tracker.sent(order, engine, m_now);
+                tracker.answered(order, OrderAnswer::Begun, m_now);
                 if (model == healthy && ++begun % 2 == 0)
                     servers[order.host].stagedModels = { model };
                 else
--- a/ramphinge/formation/order_book.cpp
+++ b/ramphinge/formation/order_tracker.cpp
@@ -1,6 +1,6 @@
-// Tracking of orders sent to servers: see order_book.h.
+// Tracking of orders sent to servers: see order_tracker.h.
 
-#include "ramphinge/formation/order_book.h"
+#include "ramphinge/formation/order_tracker.h"
 
 #include <algorithm>
 #include <limits>
@@ -41,7 +41,7 @@
     return "unknown";
 }
 
-Duration OrderBook::expectedTime(const ServerOrder &order, const EngineProfile &engine) const
+Duration OrderTracker::expectedTime(const ServerOrder &order, const EngineProfile &engine) const
 {
     const ModelProfile *model = engine.find(order.model);
     if (order.kind == OrderKind::Open)
@@ -56,7 +56,7 @@
     return scaled(model->loadTime, (m_trafficSeen ? 1.0 : preTrafficLoadTimeFactor) * contention);
 }
 
-bool OrderBook::isLoading(const HostId &host, const ModelId &model) const
+bool OrderTracker::isLoading(const HostId &host, const ModelId &model) const
 {
     return std::any_of(m_loading.begin(), m_loading.end(),
                        [&](const Load &load) { return load.host == host && load.model == model; });
@@ -65,7 +65,7 @@
 // Whether the host is loading already, for this planner or its predecessor: an order to stage would
 // start the load over. False for a load whose own order may have been lost, so that it is sent
 // again.
-bool OrderBook::isStaging(const ServerOrder &order) const
+bool OrderTracker::isStaging(const ServerOrder &order) const
 {
     const bool loads = std::any_of(m_loading.begin(), m_loading.end(),
                                    [&](const Load &load) { return load.host == order.host; });
@@ -74,7 +74,7 @@
     return loads && !(mayBeLost && isLoading(order.host, order.model));
 }
 
-std::map<HostId, ModelId> OrderBook::loading() const
+std::map<HostId, ModelId> OrderTracker::loading() const
 {
     std::map<HostId, ModelId> models;
     for (const Load &load : m_loading)
@@ -82,7 +82,7 @@
     return models;
 }
 
-void OrderBook::observe(const ServerMap &servers, const ReplicaPlan &plan, MonotonicTime now)
+void OrderTracker::observe(const ServerMap &servers, const ReplicaPlan &plan, MonotonicTime now)
 {
     for (const PlannedReplica &replica : plan.replicas) {
         if (replica.phase == ReplicaPhase::Ready)
@@ -99,7 +99,7 @@
 
 // Records successes and crashes of loads for the backoff; call it before finished loads are
 // removed.
-void OrderBook::recordLoadOutcomes(const ServerMap &servers, MonotonicTime now)
+void OrderTracker::recordLoadOutcomes(const ServerMap &servers, MonotonicTime now)
 {
     for (const HostId &host : m_presentHosts) {
         const bool loaded = std::any_of(m_loading.begin(), m_loading.end(),
@@ -119,8 +119,8 @@
         m_presentHosts.insert(host);
 }
 
-bool OrderBook::isDue(const ServerOrder &order, const EngineProfile &engine,
-                      MonotonicTime now) const
+bool OrderTracker::isDue(const ServerOrder &order, const EngineProfile &engine,
+                         MonotonicTime now) const
 {
     const auto found = m_entries.find(order);
     if (found == m_entries.end())
@@ -132,8 +132,8 @@
     return now >= entry.answeredAt + entry.retryDelay + work;
 }
 
-std::vector<ServerOrder> OrderBook::due(const std::vector<ServerOrder> &wanted,
-                                        const EngineProfile &engine, MonotonicTime now) const
+std::vector<ServerOrder> OrderTracker::due(const std::vector<ServerOrder> &wanted,
+                                           const EngineProfile &engine, MonotonicTime now) const
 {
     std::vector<ServerOrder> result;
     int loadsLeft = loadsAllowed(engine, now);
@@ -157,8 +157,8 @@
     return result;
 }
 
-void OrderBook::addLoad(const HostId &host, const ModelId &model, const EngineProfile &engine,
-                        MonotonicTime now)
+void OrderTracker::addLoad(const HostId &host, const ModelId &model, const EngineProfile &engine,
+                           MonotonicTime now)
 {
     const ModelProfile *profile = engine.find(model);
     const Duration expected = profile == nullptr ? Duration::zero() : profile->loadTime;
@@ -167,7 +167,7 @@
     m_loadStarts.push_back(now);
 }
 
-void OrderBook::sent(const ServerOrder &order, const EngineProfile &engine, MonotonicTime now)
+void OrderTracker::sent(const ServerOrder &order, const EngineProfile &engine, MonotonicTime now)
 {
     Entry &entry = m_entries[order];
     entry.inFlight = true;
@@ -177,28 +177,28 @@
         m_loadStarts.pop_front();
 }
 
-OrderLedger OrderBook::ledger(const ReplicaPlan &plan, MonotonicTime now) const
+PendingOrders OrderTracker::pendingOrders(const ReplicaPlan &plan, MonotonicTime now) const
 {
-    OrderLedger ledger;
-    ledger.loads = loading();
+    PendingOrders pendingOrders;
+    pendingOrders.loads = loading();
     for (const auto &[order, entry] : m_entries) {
         const PlannedReplica *planned = plan.find(order.replica);
         const bool isReady = planned != nullptr && planned->phase == ReplicaPhase::Ready;
         if (mayStillBeCarriedOut(order, entry, now)
             && (isReady || m_toldToOpen.count(order.replica) > 0))
-            ledger.unansweredJoins[order.host] = order.replica;
+            pendingOrders.unansweredJoins[order.host] = order.replica;
     }
-    return ledger;
+    return pendingOrders;
 }
 
-void OrderBook::adopt(const OrderLedger &ledger, const ReplicaPlan &plan,
-                      const EngineProfile &engine, MonotonicTime now)
+void OrderTracker::adopt(const PendingOrders &pendingOrders, const ReplicaPlan &plan,
+                         const EngineProfile &engine, MonotonicTime now)
 {
-    for (const auto &[host, model] : ledger.loads) {
+    for (const auto &[host, model] : pendingOrders.loads) {
         if (engine.find(model) != nullptr && !isLoading(host, model))
             addLoad(host, model, engine, now);
     }
-    for (const auto &[host, replica] : ledger.unansweredJoins) {
+    for (const auto &[host, replica] : pendingOrders.unansweredJoins) {
         recordUnansweredJoin(host, replica, now);
         m_toldToOpen.insert(replica);
     }
@@ -210,8 +210,8 @@
     }
 }
 
-void OrderBook::recordUnansweredJoin(const HostId &host, const ReplicaId &replica,
-                                     MonotonicTime now)
+void OrderTracker::recordUnansweredJoin(const HostId &host, const ReplicaId &replica,
+                                        MonotonicTime now)
 {
     ServerOrder join;
     join.kind = OrderKind::Join;
@@ -221,14 +221,14 @@
 }
 
 // Whether a join that got no answer may still be carried out.
-bool OrderBook::mayStillBeCarriedOut(const ServerOrder &order, const Entry &entry,
-                                     MonotonicTime now) const
+bool OrderTracker::mayStillBeCarriedOut(const ServerOrder &order, const Entry &entry,
+                                        MonotonicTime now) const
 {
     return order.kind == OrderKind::Join && entry.unansweredAt
         && now - *entry.unansweredAt < m_options.lateJoinWindow;
 }
 
-void OrderBook::answered(const ServerOrder &order, OrderAnswer answer, MonotonicTime now)
+void OrderTracker::answered(const ServerOrder &order, OrderAnswer answer, MonotonicTime now)
 {
     Entry &entry = m_entries[order];
     entry.inFlight = false;
@@ -263,7 +263,7 @@
     }
 }
 
-std::set<HostId> OrderBook::unusable(const ServerMap &servers, MonotonicTime now) const
+std::set<HostId> OrderTracker::unusable(const ServerMap &servers, MonotonicTime now) const
 {
     std::set<HostId> hosts;
     for (const auto &[host, until] : m_unusable) {
@@ -288,8 +288,8 @@
     return hosts;
 }
 
-std::set<ReplicaId> OrderBook::failed(const ReplicaPlan &plan, const EngineProfile &engine,
-                                      MonotonicTime now)
+std::set<ReplicaId> OrderTracker::failed(const ReplicaPlan &plan, const EngineProfile &engine,
+                                         MonotonicTime now)
 {
     std::set<ReplicaId> failures;
     std::map<ReplicaId, MonotonicTime> forming;
@@ -309,7 +309,7 @@
     return failures;
 }
 
-int OrderBook::loadsAllowed(const EngineProfile &engine, MonotonicTime now) const
+int OrderTracker::loadsAllowed(const EngineProfile &engine, MonotonicTime now) const
 {
     if (!m_trafficSeen)
         return std::numeric_limits<int>::max();
--- a/ramphinge/formation/order_book.h
+++ b/ramphinge/formation/order_tracker.h
@@ -3,10 +3,10 @@
 // planner only: a new one starts empty, adopts the pending orders that the last planner stored, and
 // learns the rest from what the servers report.
 //
-//   for (const ServerOrder &order : book.due(ordersFor(plan, input), engine, now)) {
-//       book.sent(order, engine, now);
+//   for (const ServerOrder &order : tracker.due(ordersFor(plan, input), engine, now)) {
+//       tracker.sent(order, engine, now);
 //       ...
-//       book.answered(order, answer, now);
+//       tracker.answered(order, answer, now);
 //   }
 
 #pragma once
@@ -18,11 +18,11 @@
 
 #include "ramphinge/formation/load_backoff.h"
 #include "ramphinge/formation/order_channel.h"
-#include "ramphinge/formation/order_ledger.h"
+#include "ramphinge/formation/pending_orders.h"
 
 namespace ramphinge {
 
-struct OrderBookOptions
+struct OrderTrackerOptions
 {
     // Retry delay of an order without an answer. It may have been lost, or be carried out seconds
     // later; a retry does no harm.
@@ -49,10 +49,10 @@
 };
 
 // Not thread-safe: lives on the event loop.
-class OrderBook
+class OrderTracker
 {
 public:
-    explicit OrderBook(OrderBookOptions options)
+    explicit OrderTracker(OrderTrackerOptions options)
         : m_options(options), m_loadBackoff(options.loadBackoff)
     { }
 
@@ -95,13 +95,13 @@
 
     // What to store for the next planner: loads in progress, and joins without an answer that may
     // still be carried out, of replicas that are or were Ready.
-    OrderLedger ledger(const ReplicaPlan &plan, MonotonicTime now) const;
+    PendingOrders pendingOrders(const ReplicaPlan &plan, MonotonicTime now) const;
 
     // Adopts the pending orders that another planner stored. When they were sent isn't known, so
     // they count as sent now. The joins of replicas that are still forming are taken to be without
     // an answer.
-    void adopt(const OrderLedger &ledger, const ReplicaPlan &plan, const EngineProfile &engine,
-               MonotonicTime now);
+    void adopt(const PendingOrders &pendingOrders, const ReplicaPlan &plan,
+               const EngineProfile &engine, MonotonicTime now);
 
 private:
     struct Entry
@@ -130,7 +130,7 @@
     Duration expectedTime(const ServerOrder &order, const EngineProfile &engine) const;
     bool isDue(const ServerOrder &order, const EngineProfile &engine, MonotonicTime now) const;
 
-    OrderBookOptions m_options;
+    OrderTrackerOptions m_options;
     bool m_trafficSeen = true;
     std::map<ServerOrder, Entry> m_entries;
     std::vector<Load> m_loading; // In progress, as far as known.
--- a/ramphinge/formation/order_ledger.cpp
+++ b/ramphinge/formation/pending_orders.cpp
@@ -1,6 +1,6 @@
-// JSON encoding of a planner's pending orders: see order_ledger.h.
+// JSON encoding of a planner's pending orders: see pending_orders.h.
 
-#include "ramphinge/formation/order_ledger.h"
+#include "ramphinge/formation/pending_orders.h"
 
 #include <nlohmann/json.hpp>
 
@@ -38,24 +38,24 @@
 
 } // namespace
 
-std::string serialize(const OrderLedger &ledger)
+std::string serialize(const PendingOrders &pendingOrders)
 {
     return Json {
-        { loadsField, toJson(ledger.loads) },
-        { unansweredJoinsField, toJson(ledger.unansweredJoins) }
+        { loadsField, toJson(pendingOrders.loads) },
+        { unansweredJoinsField, toJson(pendingOrders.unansweredJoins) }
     }.dump();
 }
 
-Result<OrderLedger> parseLedger(const std::string &text)
+Result<PendingOrders> parsePendingOrders(const std::string &text)
 {
     const Json document = Json::parse(text, nullptr, false);
-    OrderLedger ledger;
-    if (!document.is_object() || !read(document, loadsField, ledger.loads)
-        || !read(document, unansweredJoinsField, ledger.unansweredJoins))
+    PendingOrders pendingOrders;
+    if (!document.is_object() || !read(document, loadsField, pendingOrders.loads)
+        || !read(document, unansweredJoinsField, pendingOrders.unansweredJoins))
         return Error(ErrorKind::InvalidInput,
                      "the stored pending orders lack their loads or unanswered joins, or are not "
                      "valid JSON");
-    return ledger;
+    return pendingOrders;
 }
 
 } // namespace ramphinge
--- a/ramphinge/formation/order_ledger.h
+++ b/ramphinge/formation/pending_orders.h
@@ -16,20 +16,20 @@
 
 namespace ramphinge {
 
-struct OrderLedger
+struct PendingOrders
 {
     std::map<HostId, ModelId> loads; // In progress: the model that each server loads.
     std::map<HostId, ReplicaId> unansweredJoins; // To servers of replicas told to open.
 
-    friend bool operator==(const OrderLedger &a, const OrderLedger &b)
+    friend bool operator==(const PendingOrders &a, const PendingOrders &b)
     {
         return a.loads == b.loads && a.unansweredJoins == b.unansweredJoins;
     }
 };
 
-std::string serialize(const OrderLedger &ledger);
+std::string serialize(const PendingOrders &pendingOrders);
 
 // Errors: InvalidInput.
-Result<OrderLedger> parseLedger(const std::string &text);
+Result<PendingOrders> parsePendingOrders(const std::string &text);
 
 } // namespace ramphinge
