--- a/ramphinge/fleet_control/formation_runner.cpp
+++ b/ramphinge/fleet_control/formation_runner.cpp
@@ -228,7 +228,7 @@
     const MonotonicTime now = m_clock.now();
     readSuspicions(now);
     updatePresumedDead(now);
-    if (m_fleet.plan.replicas.empty() && m_presence.isGathering(now))
+    if (m_fleet.plan.replicas.empty() && m_presence.isAwaitingRegistrations(now))
         return;
     if (m_planWriteUncertain) {
         rereadPlan(yield);
@@ -266,7 +266,7 @@
                            unusable(now),
                            m_orderTracker.failed(m_fleet.plan, *service.engine, now),
                            m_presence.settled(now),
-                           m_presence.forgotten(m_fleet.plan, now),
+                           m_presence.presumedLost(m_fleet.plan, now),
                            m_orderTracker.joinsMayLoad(),
                            m_orderTracker.loading() };
     const double busy = m_dispatch.demand.busyServers(*service.engine, countServers(input),
@@ -286,9 +286,9 @@
     const auto replicaRate = m_dispatch.demand.rateOfReplica(engine, model.model, now);
     if (!replicaRate)
         return 0;
-    return serversWithheld(m_fleet.plan, model, *replicaRate, [this, now](const HostId &head) {
-        return m_dispatch.gate.limits().rateOf(head, now);
-    });
+    return serversLostToRateLimits(
+        m_fleet.plan, model, *replicaRate,
+        [this, now](const HostId &head) { return m_dispatch.gate.limits().rateOf(head, now); });
 }
 
 void FormationRunner::planService(const ServiceEntry &service, Yield yield)
--- a/ramphinge/formation/formation_planner.cpp
+++ b/ramphinge/formation/formation_planner.cpp
@@ -76,7 +76,9 @@
 bool canBeDropped(const PlannedReplica &replica, const FormationInput &input)
 {
     const auto isStillMember = [&](const HostId &host) { return isMember(input, replica, host); };
-    const auto isPresumedLost = [&](const HostId &host) { return input.forgotten.count(host) > 0; };
+    const auto isPresumedLost = [&](const HostId &host) {
+        return input.presumedLost.count(host) > 0;
+    };
     if (std::any_of(replica.hosts.begin(), replica.hosts.end(), isStillMember))
         return isHeadInState(replica, input, MembershipState::Broken);
     const bool anyPresent =
@@ -211,8 +213,9 @@
     return busyServers + model.serversPerReplica;
 }
 
-double serversWithheld(const ReplicaPlan &plan, const ModelProfile &model, RequestRate fullRate,
-                       const std::function<std::optional<RequestRate>(const HostId &)> &rateOf)
+double
+serversLostToRateLimits(const ReplicaPlan &plan, const ModelProfile &model, RequestRate fullRate,
+                        const std::function<std::optional<RequestRate>(const HostId &)> &rateOf)
 {
     double servers = 0;
     for (const PlannedReplica &replica : plan.replicas) {
--- a/ramphinge/formation/formation_planner.h
+++ b/ramphinge/formation/formation_planner.h
@@ -50,8 +50,9 @@
 // The capacity, in servers, that the model's Ready replicas lack because their heads accept fewer
 // requests than `fullRate`, what a replica without a limit can take. `rateOf` returns the rate that
 // a head accepts; nothing if it has no limit.
-double serversWithheld(const ReplicaPlan &plan, const ModelProfile &model, RequestRate fullRate,
-                       const std::function<std::optional<RequestRate>(const HostId &)> &rateOf);
+double
+serversLostToRateLimits(const ReplicaPlan &plan, const ModelProfile &model, RequestRate fullRate,
+                        const std::function<std::optional<RequestRate>(const HostId &)> &rateOf);
 
 struct FormationInput
 {
@@ -68,7 +69,7 @@
     // network partition would be back by now.
     std::set<HostId> settled;
     // Servers that have been missing from the view for so long that they are presumed lost.
-    std::set<HostId> forgotten;
+    std::set<HostId> presumedLost;
     // Whether servers that have to load the model may join a replica. Under traffic they stage the
     // model first: a member that loads keeps the warm members waiting.
     bool joinsMayLoad = false;
--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -72,7 +72,7 @@
         const ServerMap &view = m_view.servers();
         m_presence.observe(m_view, now);
         m_tracker.observe(view, plan, now);
-        if (plan.replicas.empty() && m_presence.isGathering(now))
+        if (plan.replicas.empty() && m_presence.isAwaitingRegistrations(now))
             return;
         plan = nextFormation(plan, input(view));
         CPPUNIT_ASSERT(checkPlan(plan).ok());
@@ -137,7 +137,7 @@
                  m_tracker.unusable(view, now),
                  m_tracker.failed(plan, engine, now),
                  m_presence.settled(now),
-                 m_presence.forgotten(plan, now),
+                 m_presence.presumedLost(plan, now),
                  m_tracker.joinsMayLoad(),
                  m_tracker.loading() };
     }
@@ -346,8 +346,9 @@
         };
         const auto unlimited = [](const HostId &) { return std::optional<RequestRate>(); };
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1.5 * model.serversPerReplica,
-                                     serversWithheld(plan, model, RequestRate(10), rateOf), 1e-9);
-        CPPUNIT_ASSERT_EQUAL(0.0, serversWithheld(plan, model, RequestRate(10), unlimited));
+                                     serversLostToRateLimits(plan, model, RequestRate(10), rateOf),
+                                     1e-9);
+        CPPUNIT_ASSERT_EQUAL(0.0, serversLostToRateLimits(plan, model, RequestRate(10), unlimited));
     }
 
     // Guards against a model that is left short when it loses one replica. Where all servers are
--- a/ramphinge/formation/presence.cpp
+++ b/ramphinge/formation/presence.cpp
@@ -36,7 +36,7 @@
     eraseIf(m_missingSince, [&](const auto &entry) { return now - entry.second >= longest; });
 }
 
-bool Presence::isGathering(MonotonicTime now) const
+bool Presence::isAwaitingRegistrations(MonotonicTime now) const
 {
     return m_firstServerAt == MonotonicTime()
         || (now - m_newestServerAt < m_options.registrationQuietTime
@@ -53,7 +53,7 @@
     return hosts;
 }
 
-std::set<HostId> Presence::forgotten(const ReplicaPlan &plan, MonotonicTime now)
+std::set<HostId> Presence::presumedLost(const ReplicaPlan &plan, MonotonicTime now)
 {
     std::set<HostId> hosts;
     for (const PlannedReplica &replica : plan.replicas) {
--- a/ramphinge/formation/presence.h
+++ b/ramphinge/formation/presence.h
@@ -38,14 +38,14 @@
 
     // Whether servers are still registering after the start, so that the first replicas should
     // wait.
-    bool isGathering(MonotonicTime now) const;
+    bool isAwaitingRegistrations(MonotonicTime now) const;
 
     // Servers that have been in the view for `settlingTime`.
     std::set<HostId> settled(MonotonicTime now) const;
 
     // Members of the plan that have been missing for `lossTimeout`, counted from when this object
     // first saw them missing.
-    std::set<HostId> forgotten(const ReplicaPlan &plan, MonotonicTime now);
+    std::set<HostId> presumedLost(const ReplicaPlan &plan, MonotonicTime now);
 
 private:
     void pruneMissing(MonotonicTime now);
