--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -246,7 +246,7 @@
     void applyOthersLoad(const SharedLoad &others)
     {
         const MonotonicTime now = m_clock.now();
-        m_dispatch.targets.setOthersLoad(others.places, now);
+        m_dispatch.targets.setOthersLoad(others.targetLoads, now);
         m_dispatch.demand.setOthers(others.work, now);
     }
 
--- a/ramphinge/dispatch/placing_test.cpp
+++ b/ramphinge/dispatch/placing_test.cpp
@@ -207,26 +207,26 @@
     // Gives each daemon the load that the others had in flight one report interval ago.
     void shareLoads()
     {
-        std::vector<PlaceLoads> ownLoads;
-        std::map<HostId, PlaceLoad> totalLoad;
+        std::vector<TargetLoads> ownLoads;
+        std::map<HostId, TargetLoad> totalLoad;
         for (const TargetTable &table : m_tables) {
             ownLoads.push_back(table.ownLoad());
-            for (const PlaceLoad &load : ownLoads.back()) {
-                PlaceLoad &hostTotal = totalLoad[load.host];
+            for (const TargetLoad &load : ownLoads.back()) {
+                TargetLoad &hostTotal = totalLoad[load.host];
                 hostTotal.host = load.host;
                 hostTotal.running += load.running;
                 hostTotal.waitingPrompt += load.waitingPrompt;
             }
         }
         for (std::size_t i = 0; i < m_tables.size(); ++i) {
-            std::map<HostId, PlaceLoad> othersLoad = m_previousTotalLoad;
+            std::map<HostId, TargetLoad> othersLoad = m_previousTotalLoad;
             if (!m_previousOwnLoads.empty()) {
-                for (const PlaceLoad &load : m_previousOwnLoads[i]) {
+                for (const TargetLoad &load : m_previousOwnLoads[i]) {
                     othersLoad[load.host].running -= load.running;
                     othersLoad[load.host].waitingPrompt -= load.waitingPrompt;
                 }
             }
-            PlaceLoads others;
+            TargetLoads others;
             for (const auto &[host, load] : othersLoad)
                 others.push_back(load);
             m_tables[i].setOthersLoad(others, m_now);
@@ -254,8 +254,8 @@
     ReplicaPlan m_plan;
     std::vector<TargetTable> m_tables;
     std::map<HostId, SimulatedReplica> m_replicas;
-    std::map<HostId, PlaceLoad> m_previousTotalLoad;
-    std::vector<PlaceLoads> m_previousOwnLoads;
+    std::map<HostId, TargetLoad> m_previousTotalLoad;
+    std::vector<TargetLoads> m_previousOwnLoads;
     MonotonicTime m_now { std::chrono::seconds(100) };
     Outcome m_outcome;
 };
--- a/ramphinge/dispatch/target_table.cpp
+++ b/ramphinge/dispatch/target_table.cpp
@@ -124,17 +124,17 @@
     }
 }
 
-void TargetTable::setOthersLoad(const PlaceLoads &loads, MonotonicTime now)
+void TargetTable::setOthersLoad(const TargetLoads &loads, MonotonicTime now)
 {
     m_othersLoad.clear();
-    for (const PlaceLoad &load : loads)
+    for (const TargetLoad &load : loads)
         m_othersLoad[load.host] = load;
     m_othersLoadAt = now;
 }
 
-PlaceLoads TargetTable::ownLoad() const
+TargetLoads TargetTable::ownLoad() const
 {
-    PlaceLoads loads;
+    TargetLoads loads;
     for (const auto &[host, stats] : m_stats) {
         // Late requests that wait are left out: they yield to all others, also of other daemons. If
         // they counted as load, every later request would be predicted to be late as well.
--- a/ramphinge/dispatch/target_table.h
+++ b/ramphinge/dispatch/target_table.h
@@ -20,7 +20,7 @@
 #include "ramphinge/dispatch/placing.h"
 #include "ramphinge/dispatch/urgency.h"
 #include "ramphinge/fleet/fleet_view.h"
-#include "ramphinge/fleet/place_load.h"
+#include "ramphinge/fleet/target_load.h"
 #include "ramphinge/limits/server_gate.h"
 #include "ramphinge/replicas/plan.h"
 
@@ -88,9 +88,9 @@
     void setSharers(int daemons) { m_sharers = std::max(1, daemons); }
 
     // Sets the sum of the other daemons' load; replaces the previous sum.
-    void setOthersLoad(const PlaceLoads &loads, MonotonicTime now);
+    void setOthersLoad(const TargetLoads &loads, MonotonicTime now);
     // This daemon's load, without targets that have none.
-    PlaceLoads ownLoad() const;
+    TargetLoads ownLoad() const;
 
     // Chooses the target with the least expected time; for a model, while the other daemons' load
     // is known, the better of two that are drawn by their free slots. Null if all are excluded. The
@@ -179,7 +179,7 @@
     TargetTableOptions m_options;
     Random m_random;
     int m_sharers = 1;
-    std::map<HostId, PlaceLoad> m_othersLoad; // As last reported.
+    std::map<HostId, TargetLoad> m_othersLoad; // As last reported.
     std::optional<MonotonicTime> m_othersLoadAt; // When it was last reported; empty if never.
     std::map<HostId, Target> m_targets;
     std::map<HostId, TargetStats> m_stats; // Includes former targets with requests in flight.
--- a/ramphinge/fleet/place_load.h
+++ b/ramphinge/fleet/target_load.h
@@ -11,19 +11,19 @@
 
 namespace ramphinge {
 
-struct PlaceLoad
+struct TargetLoad
 {
     HostId host; // A plain server, or a replica's head.
     int running = 0; // Requests sent and not ended, except late ones that wait.
     std::int64_t waitingPrompt = 0; // Prompt tokens of requests that have not begun.
 };
 
-using PlaceLoads = std::vector<PlaceLoad>;
+using TargetLoads = std::vector<TargetLoad>;
 
 // The load that daemons report to each other.
 struct SharedLoad
 {
-    PlaceLoads places; // Without idle ones.
+    TargetLoads targetLoads; // Without idle ones.
     WorkByModel work;
 };
 
--- a/ramphinge/peers/message.cpp
+++ b/ramphinge/peers/message.cpp
@@ -573,17 +573,17 @@
     message.moreFollow = json.value("m", false);
 }
 
-Json targetsJson(const PlaceLoads &places)
+Json targetsJson(const TargetLoads &places)
 {
     Json list = Json::array();
-    for (const PlaceLoad &target : places)
+    for (const TargetLoad &target : places)
         list.push_back(Json::array({ target.host.text(), target.running, target.waitingPrompt }));
     return list;
 }
 
-PlaceLoads targetsFrom(const Json &json)
+TargetLoads targetsFrom(const Json &json)
 {
-    PlaceLoads places;
+    TargetLoads places;
     for (const Json &entry : json)
         places.push_back({ HostId(entry.at(0).get<std::string>()), entry.at(1).get<int>(),
                            entry.at(2).get<std::int64_t>() });
@@ -592,7 +592,7 @@
 
 void writeLoad(const SharedLoad &load, Json &json)
 {
-    json["p"] = targetsJson(load.places);
+    json["p"] = targetsJson(load.targetLoads);
     Json work = Json::array();
     for (const auto &[model, requested] : load.work)
         work.push_back(
@@ -611,7 +611,7 @@
 SharedLoad loadFrom(const Json &json)
 {
     SharedLoad load;
-    load.places = targetsFrom(json.at("p"));
+    load.targetLoads = targetsFrom(json.at("p"));
     const Json work = json.value("w", Json::array());
     for (const Json &entry : work)
         load.work[ModelId(entry.at(0).get<std::string>())] = { workFrom(entry.at(1)),
--- a/ramphinge/peers/message.h
+++ b/ramphinge/peers/message.h
@@ -13,7 +13,7 @@
 #include "ramphinge/base/result.h"
 #include "ramphinge/claims/claim_table.h"
 #include "ramphinge/claims/slots.h"
-#include "ramphinge/fleet/place_load.h"
+#include "ramphinge/fleet/target_load.h"
 #include "ramphinge/limits/fair_queue.h"
 #include "ramphinge/limits/server_gate.h"
 #include "ramphinge/membership/host_view.h"
--- a/ramphinge/relay/load_aggregator.cpp
+++ b/ramphinge/relay/load_aggregator.cpp
@@ -16,8 +16,8 @@
 public:
     void add(const SharedLoad &load)
     {
-        for (const PlaceLoad &added : load.places) {
-            PlaceLoad &target = m_targets[added.host];
+        for (const TargetLoad &added : load.targetLoads) {
+            TargetLoad &target = m_targets[added.host];
             target.host = added.host;
             target.running += added.running;
             target.waitingPrompt += added.waitingPrompt;
@@ -35,7 +35,7 @@
     // Differences are clamped at zero.
     void subtract(const SharedLoad &load)
     {
-        for (const PlaceLoad &removed : load.places) {
+        for (const TargetLoad &removed : load.targetLoads) {
             const auto target = m_targets.find(removed.host);
             if (target == m_targets.end())
                 continue;
@@ -55,12 +55,12 @@
     {
         SharedLoad load { {}, m_work };
         for (const auto &[host, target] : m_targets)
-            load.places.push_back(target);
+            load.targetLoads.push_back(target);
         return load;
     }
 
 private:
-    std::map<HostId, PlaceLoad> m_targets;
+    std::map<HostId, TargetLoad> m_targets;
     WorkByModel m_work;
 };
 
--- a/ramphinge/relay/load_aggregator.h
+++ b/ramphinge/relay/load_aggregator.h
@@ -12,7 +12,7 @@
 #include <map>
 
 #include "ramphinge/base/time.h"
-#include "ramphinge/fleet/place_load.h"
+#include "ramphinge/fleet/target_load.h"
 
 namespace ramphinge {
 
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -187,15 +187,15 @@
                     return SharedLoad { { { host, 3, 30 } }, {} };
                 },
                 [&](const SharedLoad &others) { receivedByFollower = others; });
-            for (int i = 0; i < 400 && receivedByFollower.places.empty(); ++i) {
+            for (int i = 0; i < 400 && receivedByFollower.targetLoads.empty(); ++i) {
                 pair.follower.exchangeLoads();
                 pair.relay.exchangeLoads();
                 sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop deliver them.
             }
-            CPPUNIT_ASSERT_EQUAL(2, receivedByFollower.places.at(0).running);
+            CPPUNIT_ASSERT_EQUAL(2, receivedByFollower.targetLoads.at(0).running);
             CPPUNIT_ASSERT_EQUAL(8.0,
                                  receivedByFollower.work.at(ModelId("chat")).serverMilliseconds);
-            CPPUNIT_ASSERT_EQUAL(3, receivedByRelay.places.at(0).running);
+            CPPUNIT_ASSERT_EQUAL(3, receivedByRelay.targetLoads.at(0).running);
         });
     }
 
--- a/ramphinge/relay/relay_test.cpp
+++ b/ramphinge/relay/relay_test.cpp
@@ -518,18 +518,18 @@
         aggregator.setRelayLoad(DaemonId("r"),
                                 { { { host, 10, 1000 } }, { { chat, { 1000, 9 } } } }, now);
         const SharedLoad own { { { host, 1, 10 } }, { { chat, { 3, 1 } } } };
-        const PlaceLoads group = aggregator.groupSum(own, now).places;
+        const TargetLoads group = aggregator.groupSum(own, now).targetLoads;
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), group.size());
         CPPUNIT_ASSERT_EQUAL(5, group[0].running);
         CPPUNIT_ASSERT_EQUAL(std::int64_t(210), group[0].waitingPrompt);
-        CPPUNIT_ASSERT_EQUAL(15, aggregator.totalSum(own, now).places[0].running);
+        CPPUNIT_ASSERT_EQUAL(15, aggregator.totalSum(own, now).targetLoads[0].running);
         CPPUNIT_ASSERT_EQUAL(60.0, aggregator.groupSum(own, now).work.at(chat).serverMilliseconds);
         CPPUNIT_ASSERT_EQUAL(1060.0,
                              aggregator.totalSum(own, now).work.at(chat).serverMilliseconds);
         CPPUNIT_ASSERT_EQUAL(13.0, aggregator.totalSum(own, now).work.at(chat).requests);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), aggregator.followers(now).size());
         const MonotonicTime later = now + options.reportLifetime + std::chrono::milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(1, aggregator.totalSum(own, later).places[0].running);
+        CPPUNIT_ASSERT_EQUAL(1, aggregator.totalSum(own, later).targetLoads[0].running);
         CPPUNIT_ASSERT(aggregator.followers(later).empty());
     }
 
@@ -541,7 +541,7 @@
         const SharedLoad own { { { HostId("h"), 2, 400 }, { HostId("gone"), 9, 9 } },
                                { { chat, { 4, 3 } } } };
         const SharedLoad others = subtractOwnLoad(total, own);
-        const PlaceLoads &rest = others.places;
+        const TargetLoads &rest = others.targetLoads;
         CPPUNIT_ASSERT_EQUAL(6.0, others.work.at(chat).serverMilliseconds);
         CPPUNIT_ASSERT_EQUAL(0.0, others.work.at(chat).requests);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), rest.size());
