--- a/ramphinge/fleet/fleet_test.cpp
+++ b/ramphinge/fleet/fleet_test.cpp
@@ -64,7 +64,7 @@
         FleetView fleet;
         fleet.put(server("back"));
         fleet.put(server("lost"));
-        fleet.storeReturned(clock.now() + std::chrono::seconds(2));
+        fleet.startGracePeriod(clock.now() + std::chrono::seconds(2));
         CPPUNIT_ASSERT(!fleet.remove(ServerName("back"), clock.now()));
         CPPUNIT_ASSERT(!fleet.remove(ServerName("lost"), clock.now()));
         CPPUNIT_ASSERT(fleet.find(HostId("lost")) != nullptr);
@@ -125,7 +125,7 @@
         FleetView fleet;
         UpstreamServer entry = server("a@5");
         entry.model = ModelId("m");
-        CPPUNIT_ASSERT(fleet.put(entry) == PutOutcome::Taken);
+        CPPUNIT_ASSERT(fleet.put(entry) == PutOutcome::Stored);
         CPPUNIT_ASSERT(fleet.put(server("a@9")) == PutOutcome::Restarted);
         CPPUNIT_ASSERT(fleet.find(HostId("a@5")) == nullptr);
         CPPUNIT_ASSERT(!fleet.find(HostId("a@9"))->isWarmFor(ModelId("m")));
@@ -147,7 +147,7 @@
         fleet.remove(ServerName("a"), clock.now());
         CPPUNIT_ASSERT(fleet.put(server("a@5")) == PutOutcome::Outdated);
         CPPUNIT_ASSERT(fleet.servers().empty());
-        CPPUNIT_ASSERT(fleet.put(server("a@9")) == PutOutcome::Taken);
+        CPPUNIT_ASSERT(fleet.put(server("a@9")) == PutOutcome::Stored);
     }
 
     void serverRestartedDuringAnOutageReplacesTheRetainedOne()
@@ -155,7 +155,7 @@
         ManualClock clock;
         FleetView fleet;
         fleet.put(server("a@5"));
-        fleet.storeReturned(clock.now() + std::chrono::seconds(2));
+        fleet.startGracePeriod(clock.now() + std::chrono::seconds(2));
         CPPUNIT_ASSERT(!fleet.remove(ServerName("a"), clock.now())); // Retained: it may come back.
         CPPUNIT_ASSERT(fleet.put(server("a@9")) == PutOutcome::Restarted);
         clock.advance(std::chrono::seconds(3));
@@ -169,7 +169,7 @@
         ManualClock clock;
         FleetView fleet;
         fleet.put(server("a@5"));
-        fleet.storeReturned(clock.now() + std::chrono::seconds(2));
+        fleet.startGracePeriod(clock.now() + std::chrono::seconds(2));
         fleet.replaceAll({ server("a@9") }, clock.now());
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), fleet.servers().size());
         CPPUNIT_ASSERT(fleet.find(HostId("a@9")) != nullptr);
--- a/ramphinge/fleet/fleet_view.cpp
+++ b/ramphinge/fleet/fleet_view.cpp
@@ -36,7 +36,7 @@
     const Incarnation incarnation = incarnationOf(server.host);
     if (isOutdated(incarnation))
         return PutOutcome::Outdated;
-    PutOutcome outcome = PutOutcome::Taken;
+    PutOutcome outcome = PutOutcome::Stored;
     const auto current = m_incarnations.find(incarnation.name);
     if (current != m_incarnations.end() && current->second != server.host) {
         erase(HostId(current->second));
@@ -79,7 +79,7 @@
     return true;
 }
 
-bool FleetView::drop(const ServerName &name)
+bool FleetView::removeAtOnce(const ServerName &name)
 {
     const auto current = m_incarnations.find(name);
     if (current == m_incarnations.end())
@@ -88,7 +88,7 @@
     return true;
 }
 
-void FleetView::keepMissing(MonotonicTime until)
+void FleetView::extendRetention(MonotonicTime until)
 {
     for (auto &[host, end] : m_retained)
         end = std::max(end, until);
--- a/ramphinge/fleet/fleet_view.h
+++ b/ramphinge/fleet/fleet_view.h
@@ -27,8 +27,8 @@
 
 // What became of an entry.
 enum class PutOutcome {
-    Taken, // Stored: new, or of the incarnation in the view.
-    Restarted, // Stored: it replaced another incarnation, which is gone.
+    Stored, // New, or of the incarnation in the view.
+    Restarted, // Stored; it replaced another incarnation, which is gone.
     Outdated, // Ignored: a later incarnation was seen before.
 };
 
@@ -52,15 +52,15 @@
 
     // The entry names no server any more: the server is gone at once and isn't retained. Returns
     // false if it was not in the view.
-    bool drop(const ServerName &name);
+    bool removeAtOnce(const ServerName &name);
 
     // The store is available again. Entries that disappear until `graceEnd` may have lapsed during
     // the outage though their servers live: they are retained until then.
-    void storeReturned(MonotonicTime graceEnd) { m_graceEnd = graceEnd; }
+    void startGracePeriod(MonotonicTime graceEnd) { m_graceEnd = graceEnd; }
 
     // Extends the time of the servers that are retained now to `until` at least, since their
     // entries could not be read meanwhile.
-    void keepMissing(MonotonicTime until);
+    void extendRetention(MonotonicTime until);
 
     // Applies a full list of entries: those that are not in it have disappeared.
     void replaceAll(std::vector<UpstreamServer> servers, MonotonicTime now);
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -215,7 +215,7 @@
 void StoreSync::expireKept()
 {
     if (!m_fleet.storeReachable)
-        m_fleet.servers.keepMissing(retainedUntil());
+        m_fleet.servers.extendRetention(retainedUntil());
     const std::vector<HostId> gone = m_fleet.servers.expire(m_clock.now());
     for (const HostId &host : gone)
         m_log.write("server_not_back", LogWeight::Belief, { { "host", host.text() } });
@@ -236,7 +236,7 @@
     const MonotonicTime graceEnd = std::min(now + m_options.returnGrace, retainedUntil());
     const bool mayHaveLapsed = outage >= m_options.minLapseOutage;
     if (mayHaveLapsed)
-        m_fleet.servers.storeReturned(graceEnd);
+        m_fleet.servers.startGracePeriod(graceEnd);
     m_log.write("store_regained", LogWeight::Belief,
                 { { "up_to", m_syncedRevision.count() },
                   { "away_ms", toMilliseconds(outage) },
@@ -426,7 +426,7 @@
     ++m_fleet.unreadableEntries;
     m_log.write("entry_unreadable", LogWeight::Failure,
                 { { "host", name.text() },
-                  { "was_known", m_fleet.servers.drop(name) },
+                  { "was_known", m_fleet.servers.removeAtOnce(name) },
                   { "why", why.message() } });
 }
 
