--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -62,7 +62,7 @@
         : m_settings(settings), m_settingsPath(std::move(settingsPath)), m_log(m_clock, {}),
           m_client(HttpClient::create(m_io, connectionsPerUpstream)),
           m_store(m_io, storeOptions(settings)),
-          m_dispatch(Freshness(settings.keyRevocation, revocationMargin),
+          m_dispatch(CatalogFreshness(settings.keyRevocation, revocationMargin),
                      TargetTable(tableOptions(settings), entropySeed()),
                      { settings.retryRatio, settings.retrySlack, settings.retryWindow }),
           m_upstreams(*m_client, m_statements, m_dispatch.gate, m_clock, m_log, m_metrics),
@@ -235,7 +235,8 @@
     bool isReady() const
     {
         return !m_dispatch.draining && m_dispatch.catalog != nullptr
-            && (!m_dispatch.catalog->asksForKeys() || m_dispatch.freshness.holds(m_clock.now()));
+            && (!m_dispatch.catalog->requiresKeys()
+                || m_dispatch.freshness.isWithinBound(m_clock.now()));
     }
 
     SharedLoad ownLoad() const
--- a/ramphinge/catalog/freshness.h
+++ b/ramphinge/catalog/catalog_freshness.h
@@ -5,8 +5,8 @@
 // confirmation is dated by the *start* of the read or watch that brought it, since the store may
 // have answered at any later time.
 //
-//   freshness.prove(watchStartedAt);
-//   if (!freshness.holds(clock.now()))
+//   freshness.confirm(watchStartedAt);
+//   if (!freshness.isWithinBound(clock.now()))
 //       return refuse();
 
 #pragma once
@@ -18,23 +18,25 @@
 namespace ramphinge {
 
 // Not thread-safe: lives on the request loop.
-class Freshness
+class CatalogFreshness
 {
 public:
     // `bound` is the longest time that a revoked key may still be accepted; `margin` is subtracted
     // for the time between this check and the start of the work at an upstream. Without a bound a
     // catalog counts as fresh once it was confirmed.
-    Freshness(std::optional<Duration> bound, Duration margin) : m_bound(bound), m_margin(margin) { }
+    CatalogFreshness(std::optional<Duration> bound, Duration margin)
+        : m_bound(bound), m_margin(margin)
+    { }
 
     // A read or watch started at `startedAt` showed that the catalog is the newest.
-    void prove(MonotonicTime startedAt)
+    void confirm(MonotonicTime startedAt)
     {
         if (!m_confirmedAt || *m_confirmedAt < startedAt)
             m_confirmedAt = startedAt;
     }
 
     // Whether the catalog is fresh enough to admit requests with keys.
-    bool holds(MonotonicTime now) const
+    bool isWithinBound(MonotonicTime now) const
     {
         return m_confirmedAt && (!m_bound || now < *m_confirmedAt + *m_bound - m_margin);
     }
--- a/ramphinge/catalog/catalog_test.cpp
+++ b/ramphinge/catalog/catalog_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the catalog: route lookup, key lookup, and how long a catalog counts as fresh.
 
-#include "ramphinge/catalog/freshness.h"
+#include "ramphinge/catalog/catalog_freshness.h"
 #include "ramphinge/catalog/service_catalog.h"
 #include "ramphinge/testing/cppunit_main.h"
 
@@ -69,11 +69,11 @@
         content.accounts = { { AccountId("school"), 1, { "k1", "k2" } },
                              { AccountId("app"), std::nullopt, { "k3" } } };
         const ServiceCatalog catalog(content);
-        CPPUNIT_ASSERT(catalog.asksForKeys());
+        CPPUNIT_ASSERT(catalog.requiresKeys());
         CPPUNIT_ASSERT(catalog.findAccount("k2")->account == AccountId("school"));
         CPPUNIT_ASSERT(catalog.findAccount("k3")->account == AccountId("app"));
         CPPUNIT_ASSERT(catalog.findAccount("k4") == nullptr);
-        CPPUNIT_ASSERT(!ServiceCatalog({}).asksForKeys());
+        CPPUNIT_ASSERT(!ServiceCatalog({}).requiresKeys());
     }
 
     void requestKindsDecideWhatMayBeRetried()
@@ -81,40 +81,40 @@
         RouteEntry entry;
         entry.kind = RequestKind::AtMostOnce;
         entry.resumable = true;
-        CPPUNIT_ASSERT(!entry.mayRepeat());
+        CPPUNIT_ASSERT(!entry.mayRetry());
         entry.kind = RequestKind::Stream;
-        CPPUNIT_ASSERT(entry.mayRepeat());
+        CPPUNIT_ASSERT(entry.mayRetry());
         entry.resumable = false;
-        CPPUNIT_ASSERT(!entry.mayRepeat());
+        CPPUNIT_ASSERT(!entry.mayRetry());
         entry.kind = RequestKind::Idempotent;
-        CPPUNIT_ASSERT(entry.mayRepeat());
+        CPPUNIT_ASSERT(entry.mayRetry());
     }
 
     void freshnessIsMeasuredFromTheStartOfTheConfirmingRead()
     {
         ManualClock clock;
-        Freshness freshness(std::chrono::seconds(5), std::chrono::seconds(1));
-        CPPUNIT_ASSERT(!freshness.holds(clock.now()));
+        CatalogFreshness freshness(std::chrono::seconds(5), std::chrono::seconds(1));
+        CPPUNIT_ASSERT(!freshness.isWithinBound(clock.now()));
         const MonotonicTime started = clock.now();
         clock.advance(std::chrono::seconds(2)); // The watch took 2 s.
-        freshness.prove(started);
+        freshness.confirm(started);
         clock.advance(std::chrono::milliseconds(1999));
-        CPPUNIT_ASSERT(freshness.holds(clock.now()));
+        CPPUNIT_ASSERT(freshness.isWithinBound(clock.now()));
         clock.advance(std::chrono::milliseconds(1));
-        CPPUNIT_ASSERT(!freshness.holds(clock.now()));
+        CPPUNIT_ASSERT(!freshness.isWithinBound(clock.now()));
         // An older confirmation that arrives late changes nothing.
-        freshness.prove(started - std::chrono::seconds(1));
+        freshness.confirm(started - std::chrono::seconds(1));
         CPPUNIT_ASSERT(*freshness.age(clock.now()) == std::chrono::seconds(4));
     }
 
     void withoutABoundOneConfirmationIsEnough()
     {
         ManualClock clock;
-        Freshness freshness(std::nullopt, std::chrono::seconds(1));
-        CPPUNIT_ASSERT(!freshness.holds(clock.now()));
-        freshness.prove(clock.now());
+        CatalogFreshness freshness(std::nullopt, std::chrono::seconds(1));
+        CPPUNIT_ASSERT(!freshness.isWithinBound(clock.now()));
+        freshness.confirm(clock.now());
         clock.advance(std::chrono::hours(1));
-        CPPUNIT_ASSERT(freshness.holds(clock.now()));
+        CPPUNIT_ASSERT(freshness.isWithinBound(clock.now()));
     }
 };
 
--- a/ramphinge/catalog/service_catalog.h
+++ b/ramphinge/catalog/service_catalog.h
@@ -50,11 +50,12 @@
     Duration timeout = std::chrono::seconds(10); // Longest deadline of a request, from its arrival.
     Duration objective =
         std::chrono::milliseconds(500); // Latency to the answer, or to a stream's first event.
-    Duration pauseObjective = std::chrono::milliseconds(300); // Gap between two events of a stream.
+    Duration eventGapObjective =
+        std::chrono::milliseconds(300); // Gap between two events of a stream.
     std::vector<WeightedTarget> targets;
 
     // Whether a request of this route may run again after it may have run.
-    bool mayRepeat() const
+    bool mayRetry() const
     {
         return kind == RequestKind::Idempotent || (kind == RequestKind::Stream && resumable);
     }
@@ -66,7 +67,7 @@
     ModelId model;
     int serversPerReplica = 1;
     double share = 1; // Of the service's servers, before demand is known.
-    double pace = 1; // Factor on all of the engine's step and prefill times.
+    double timeFactor = 1; // Factor on all of the engine's step and prefill times.
     Duration loadTime {}; // From the weight store.
     Duration warmTime {}; // From the host's own storage or memory.
 };
@@ -83,11 +84,11 @@
     double pairMillisecondsPerMillion = 0; // Prefill attention: per million pairs of tokens.
     int stepsPerPass = 1;
     Duration formationTime {}; // From the order to open until the replica serves.
-    double loadsPerSecond = 1; // Starts of loads from the weight store, over all servers.
-    int loadsAtOnce = 1; // With more, each load takes proportionally longer.
-    int stagedModelsKept = 1; // Capacity of a server's own storage, in models.
-    double usualPromptTokens = 0;
-    double usualAnswerTokens = 0;
+    double loadStartsPerSecond = 1; // Starts of loads from the weight store, over all servers.
+    int concurrentLoadLimit = 1; // With more, each load takes proportionally longer.
+    int maxStagedModels = 1; // Capacity of a server's own storage, in models.
+    double typicalPromptTokens = 0;
+    double typicalAnswerTokens = 0;
     std::vector<ModelProfile> models;
 
     const ModelProfile *find(const ModelId &model) const;
@@ -135,7 +136,7 @@
     CatalogVersion version() const { return m_content.version; }
     const CallerLimits &limits() const { return m_content.limits; }
     const std::vector<ServiceEntry> &services() const { return m_content.services; }
-    bool asksForKeys() const { return !m_content.accounts.empty(); }
+    bool requiresKeys() const { return !m_content.accounts.empty(); }
 
     // The route of that host with the longest path prefix of `path`, or null.
     const RouteEntry *findRoute(std::string_view host, std::string_view path) const;
--- a/ramphinge/dispatch/admission.cpp
+++ b/ramphinge/dispatch/admission.cpp
@@ -39,12 +39,12 @@
     admitted.route = state.catalog->findRoute(request.host, request.path);
     if (admitted.route == nullptr)
         return RefusalReason::UnknownRoute;
-    if (state.catalog->asksForKeys() && !admitted.route->isPublic) {
+    if (state.catalog->requiresKeys() && !admitted.route->isPublic) {
         if (request.key)
             admitted.account = state.catalog->findAccount(*request.key);
         // Checked before the key is rejected: a key that is missing from a stale catalog may have
         // been added since.
-        if (!state.freshness.holds(now))
+        if (!state.freshness.isWithinBound(now))
             return RefusalReason::StaleCatalog;
         if (admitted.account == nullptr)
             return RefusalReason::UnknownKey;
--- a/ramphinge/dispatch/demand_meter.cpp
+++ b/ramphinge/dispatch/demand_meter.cpp
@@ -20,7 +20,7 @@
     // A full batch shares each step.
     const double step = engine.stepMilliseconds / engine.slots + engine.perSequenceMilliseconds;
     const double decode = step * static_cast<double>(answer.count());
-    return model.pace * model.serversPerReplica * (prefill + decode);
+    return model.timeFactor * model.serversPerReplica * (prefill + decode);
 }
 
 // Weight of the observed load, from 0 to 1; the configured load has the rest.
--- a/ramphinge/dispatch/dispatch_state.h
+++ b/ramphinge/dispatch/dispatch_state.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-#include "ramphinge/catalog/freshness.h"
+#include "ramphinge/catalog/catalog_freshness.h"
 #include "ramphinge/catalog/service_catalog.h"
 #include "ramphinge/dispatch/demand_meter.h"
 #include "ramphinge/dispatch/suspicions.h"
@@ -21,13 +21,13 @@
 
 struct DispatchState
 {
-    DispatchState(Freshness proof, TargetTable table, SharedRetryBudgetOptions budget)
+    DispatchState(CatalogFreshness proof, TargetTable table, SharedRetryBudgetOptions budget)
         : freshness(proof), targets(std::move(table)), budgetOptions(budget)
     { }
 
     CatalogPointer
         catalog; // Null until the first is known. Invariant: its version never decreases.
-    Freshness freshness; // Of `catalog`.
+    CatalogFreshness freshness; // Of `catalog`.
     TargetTable targets;
     ServerGate gate;
     // Half-life: the mix of models that are asked for can shift within seconds.
--- a/ramphinge/dispatch/dispatch_test.cpp
+++ b/ramphinge/dispatch/dispatch_test.cpp
@@ -585,7 +585,7 @@
         StreamObservation stream;
         stream.expected = std::chrono::milliseconds(100);
         stream.objective = std::chrono::milliseconds(300);
-        stream.pauseObjective = std::chrono::milliseconds(200);
+        stream.eventGapObjective = std::chrono::milliseconds(200);
         stream.standstill = std::chrono::milliseconds(450);
         // Not begun: other streams of the replica show whether it makes progress.
         stream.othersUnderWay = true;
--- a/ramphinge/dispatch/internal/dispatch_fixture.h
+++ b/ramphinge/dispatch/internal/dispatch_fixture.h
@@ -215,13 +215,13 @@
 {
 public:
     DispatchHarness()
-        : state(Freshness(std::chrono::seconds(5), std::chrono::milliseconds(500)),
+        : state(CatalogFreshness(std::chrono::seconds(5), std::chrono::milliseconds(500)),
                 TargetTable(options(), 1), { 0.2, 20, std::chrono::seconds(10) }),
           log(clock, {})
     {
         clock.advance(std::chrono::seconds(60)); // Start later than one window of the retry budget.
         state.catalog = std::make_shared<const ServiceCatalog>(content());
-        state.freshness.prove(clock.now());
+        state.freshness.confirm(clock.now());
         addReplica("c1", firstServer, 1);
         addReplica("c2", secondServer, 2);
         fleet.put(server("a1", app, firstServer));
--- a/ramphinge/dispatch/internal/proxied_request.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -159,14 +159,14 @@
 
 bool ProxiedRequest::mayFailOver(int mayHaveRunCount) const
 {
-    return mayRepeat() && mayHaveRunCount < m_admitted.route->maxAttempts && !m_isTrial
+    return mayRetry() && mayHaveRunCount < m_admitted.route->maxAttempts && !m_isTrial
         && !isQuarantined() && m_context.state.budgetOf(m_admitted.service).allows(now())
         && m_context.state.targets.choose(targetQuery(), now()) != nullptr;
 }
 
 std::optional<RefusalReason> ProxiedRequest::reasonToStop(AttemptEnd last)
 {
-    if (last == AttemptEnd::Failed && !mayRepeat())
+    if (last == AttemptEnd::Failed && !mayRetry())
         return timeLeft() <= Duration::zero() ? RefusalReason::DeadlineExceeded
                                               : RefusalReason::OutcomeUnknown;
     if (timeLeft() <= Duration::zero())
@@ -190,7 +190,7 @@
 RefusalReason ProxiedRequest::finalReason() const
 {
     if (m_mayHaveRunCount > 0)
-        return mayRepeat() ? RefusalReason::UpstreamFailed : RefusalReason::OutcomeUnknown;
+        return mayRetry() ? RefusalReason::UpstreamFailed : RefusalReason::OutcomeUnknown;
     if (isQuarantined())
         return RefusalReason::Quarantined;
     if (m_sendCount > 0)
@@ -288,7 +288,7 @@
     options.connectTimeout = std::clamp(timeLeft(), minTimeout, m_context.options.connectTimeout);
     options.headTimeout = std::max(headTimeout, minTimeout);
     options.readTimeout = std::max(timeLeft(), minTimeout);
-    if (!m_admitted.route->mayRepeat())
+    if (!m_admitted.route->mayRetry())
         options.maxIdle = m_context.options.maxIdleAtMostOnce;
     options.maxIdleConnections = maxIdleConnections();
     options.belongs = [&codec = m_context.codec, request = m_incoming.request](
--- a/ramphinge/dispatch/internal/proxied_request.h
+++ b/ramphinge/dispatch/internal/proxied_request.h
@@ -84,7 +84,7 @@
     virtual void endWithError(RefusalReason reason, Yield yield);
 
     // Whether the request may be retried after an upstream may have executed it.
-    bool mayRepeat() const { return m_admitted.route->mayRepeat(); }
+    bool mayRetry() const { return m_admitted.route->mayRetry(); }
 
     // Whether the request could be sent to another upstream if the current one failed now.
     // `mayHaveRunCount` is the number of upstreams that may have executed it by then.
--- a/ramphinge/dispatch/internal/streamed_request.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -380,7 +380,7 @@
     stream.waited = now() - upstream.lastActivityAt;
     stream.expected = upstream.expected;
     stream.objective = m_admitted.route->objective;
-    stream.pauseObjective = m_admitted.route->pauseObjective;
+    stream.eventGapObjective = m_admitted.route->eventGapObjective;
     stream.othersUnderWay = others > 0;
     stream.standstill = targets.standstillOf(host);
     stream.quiet = now() - std::max(targets.lastProgress(host), upstream.sentAt);
--- a/ramphinge/dispatch/stall_policy.cpp
+++ b/ramphinge/dispatch/stall_policy.cpp
@@ -16,7 +16,7 @@
                                         scaled(stream.objective, options.objectiveFactor));
     }
     const double factor = othersProgress ? options.pauseFactorIfOthersMove : options.pauseFactor;
-    return stream.waited > scaled(stream.pauseObjective, factor);
+    return stream.waited > scaled(stream.eventGapObjective, factor);
 }
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/stall_policy.h
+++ b/ramphinge/dispatch/stall_policy.h
@@ -32,7 +32,7 @@
     Duration waited {}; // Since the request was sent, or since its last event.
     Duration expected {}; // Until the first event, as predicted when it was sent.
     Duration objective {}; // For the first event.
-    Duration pauseObjective {}; // Between two events.
+    Duration eventGapObjective {}; // Between two events.
     bool othersUnderWay = false; // Other streams of this daemon have begun at the replica.
     Duration quiet {}; // Since anything arrived from the replica.
     Duration standstill {}; // The replica counts as stalled once `quiet` is longer.
--- a/ramphinge/dispatch/target_table.cpp
+++ b/ramphinge/dispatch/target_table.cpp
@@ -176,8 +176,8 @@
     }
     const EngineProfile &engine = found->second;
     const ModelProfile *model = engine.find(target.model);
-    const double pace = model == nullptr ? 1 : model->pace;
-    const double context = (engine.usualPromptTokens + engine.usualAnswerTokens / 2) / 1000;
+    const double pace = model == nullptr ? 1 : model->timeFactor;
+    const double context = (engine.typicalPromptTokens + engine.typicalAnswerTokens / 2) / 1000;
     const double perRequest =
         engine.perSequenceMilliseconds + engine.contextMillisecondsPerThousand * context;
     const double step =
--- a/ramphinge/fleet_control/internal/daemon_fixture.h
+++ b/ramphinge/fleet_control/internal/daemon_fixture.h
@@ -24,8 +24,8 @@
 {
     EngineProfile engine;
     engine.slots = 8;
-    engine.loadsAtOnce = 8;
-    engine.loadsPerSecond = 8;
+    engine.concurrentLoadLimit = 8;
+    engine.loadStartsPerSecond = 8;
     engine.models.push_back(
         { model, 2, 1, 1, std::chrono::seconds(10), std::chrono::milliseconds(500) });
     return engine;
@@ -99,7 +99,7 @@
 public:
     DaemonParts(IoContext &io, ManualClock &clock, KeyValueStore &store, const std::string &name,
                 StoreSyncOptions syncOptions = {})
-        : dispatch(Freshness(std::chrono::seconds(5), std::chrono::milliseconds(500)),
+        : dispatch(CatalogFreshness(std::chrono::seconds(5), std::chrono::milliseconds(500)),
                    TargetTable({}, 1), { 0.2, 20, std::chrono::seconds(10) }),
           log(clock, {}), sync(
                               io, clock, syncOptions, store, decoder, fleet, dispatch, log,
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -396,7 +396,7 @@
 {
     m_freshAsOf = std::max(m_freshAsOf, startedAt);
     if (m_catalogReadable)
-        m_dispatch.freshness.prove(startedAt);
+        m_dispatch.freshness.confirm(startedAt);
 }
 
 void StoreSync::applyCatalog(const StoredValue &stored)
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -205,17 +205,17 @@
             DaemonParts daemon(io, env.clock, store, "d1");
             for (int i = 0; i < 20; ++i) {
                 daemon.sync.round(yield);
-                CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(env.clock.now()));
+                CPPUNIT_ASSERT(daemon.dispatch.freshness.isWithinBound(env.clock.now()));
             }
             store.setDown(true);
             env.clock.advance(std::chrono::seconds(4));
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(!daemon.fleet.storeReachable);
-            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(env.clock.now()));
+            CPPUNIT_ASSERT(!daemon.dispatch.freshness.isWithinBound(env.clock.now()));
             store.setDown(false);
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.storeReachable);
-            CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(env.clock.now()));
+            CPPUNIT_ASSERT(daemon.dispatch.freshness.isWithinBound(env.clock.now()));
         });
     }
 
@@ -546,17 +546,17 @@
                 daemon.sync.round(yield);
                 env.clock.advance(std::chrono::seconds(1));
             }
-            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(env.clock.now()));
+            CPPUNIT_ASSERT(!daemon.dispatch.freshness.isWithinBound(env.clock.now()));
             store.put(StoreKey("server/a"), "chat");
             store.forgetHistory();
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(!daemon.fleet.synced);
             daemon.sync.round(yield); // A list proves no more than a watch.
             CPPUNIT_ASSERT(daemon.fleet.synced);
-            CPPUNIT_ASSERT(!daemon.dispatch.freshness.holds(env.clock.now()));
+            CPPUNIT_ASSERT(!daemon.dispatch.freshness.isWithinBound(env.clock.now()));
             store.put(catalogKey, "3");
             daemon.sync.round(yield);
-            CPPUNIT_ASSERT(daemon.dispatch.freshness.holds(env.clock.now()));
+            CPPUNIT_ASSERT(daemon.dispatch.freshness.isWithinBound(env.clock.now()));
         });
     }
 
--- a/ramphinge/formation/formation_test.cpp
+++ b/ramphinge/formation/formation_test.cpp
@@ -26,8 +26,8 @@
     EngineProfile engine;
     engine.slots = 17;
     engine.formationTime = std::chrono::milliseconds(300);
-    engine.loadsPerSecond = 5;
-    engine.loadsAtOnce = 7;
+    engine.loadStartsPerSecond = 5;
+    engine.concurrentLoadLimit = 7;
     engine.models.push_back(
         { large, 4, 0.5, 1.0, std::chrono::seconds(16), std::chrono::milliseconds(1600) });
     engine.models.push_back(
@@ -519,8 +519,8 @@
         sim.fleet.addServers(3, 10); // All of them empty.
         sim.run(std::chrono::seconds(60));
         CPPUNIT_ASSERT(sim.maxConcurrentLoads > 0);
-        CPPUNIT_ASSERT_EQUAL(sim.engine.loadsAtOnce,
-                             std::max(sim.engine.loadsAtOnce, sim.maxConcurrentLoads));
+        CPPUNIT_ASSERT_EQUAL(sim.engine.concurrentLoadLimit,
+                             std::max(sim.engine.concurrentLoadLimit, sim.maxConcurrentLoads));
     }
 
     // Guards against a new planner that ignores the loads its predecessor started.
@@ -553,7 +553,7 @@
         sim.replacePlanner();
         sim.fleet.addServers(3, 2);
         sim.run(std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(sim.engine.loadsAtOnce, sim.fleet.loadsInProgress());
+        CPPUNIT_ASSERT_EQUAL(sim.engine.concurrentLoadLimit, sim.fleet.loadsInProgress());
     }
 
     // Guards against a planner that repeats its predecessor's orders to stage: the load would start
@@ -655,7 +655,7 @@
         for (auto &[host, server] : servers)
             server.stagedModels = { small };
         tracker.observe(servers, {}, now);
-        CPPUNIT_ASSERT_EQUAL(engine.loadsAtOnce, sendDue());
+        CPPUNIT_ASSERT_EQUAL(engine.concurrentLoadLimit, sendDue());
         CPPUNIT_ASSERT_EQUAL(0, sendDue());
     }
 
--- a/ramphinge/formation/load_backoff_test.cpp
+++ b/ramphinge/formation/load_backoff_test.cpp
@@ -14,8 +14,8 @@
 EngineProfile twoModels()
 {
     EngineProfile engine;
-    engine.loadsAtOnce = 4;
-    engine.loadsPerSecond = 4;
+    engine.concurrentLoadLimit = 4;
+    engine.loadStartsPerSecond = 4;
     for (const ModelId &model : { harmful, healthy })
         engine.models.push_back(
             { model, 1, 1, 1, std::chrono::seconds(10), std::chrono::milliseconds(500) });
--- a/ramphinge/formation/order_tracker.cpp
+++ b/ramphinge/formation/order_tracker.cpp
@@ -52,7 +52,7 @@
         return model->warmTime;
     // Loads beyond the store's limit of concurrent loads slow each other down.
     const double contention =
-        std::max(1.0, static_cast<double>(m_loading.size()) / engine.loadsAtOnce);
+        std::max(1.0, static_cast<double>(m_loading.size()) / engine.concurrentLoadLimit);
     return scaled(model->loadTime, (m_trafficSeen ? 1.0 : preTrafficLoadTimeFactor) * contention);
 }
 
@@ -146,7 +146,7 @@
             continue;
         if (order.needsLoad && !isLoading(order.host, order.model)) {
             const int reservedLoads = order.canWait
-                ? static_cast<int>(engine.loadsAtOnce * m_options.reservedLoadFraction)
+                ? static_cast<int>(engine.concurrentLoadLimit * m_options.reservedLoadFraction)
                 : 0;
             if (order.kind == OrderKind::Stage && loadsLeft <= reservedLoads)
                 continue;
@@ -316,8 +316,8 @@
     const auto startedInWindow = static_cast<int>(
         std::count_if(m_loadStarts.begin(), m_loadStarts.end(),
                       [&](MonotonicTime start) { return now - start < m_options.loadWindow; }));
-    const double rate = engine.loadsPerSecond * toMilliseconds(m_options.loadWindow) / 1000;
-    const int concurrentLeft = engine.loadsAtOnce - static_cast<int>(m_loading.size());
+    const double rate = engine.loadStartsPerSecond * toMilliseconds(m_options.loadWindow) / 1000;
+    const int concurrentLeft = engine.concurrentLoadLimit - static_cast<int>(m_loading.size());
     return std::max(0, std::min(static_cast<int>(rate) - startedInWindow, concurrentLeft));
 }
 
