--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -20,7 +20,7 @@
 #include "ramphinge/fleet_control/drain_schedule.h"
 #include "ramphinge/fleet_control/formation_runner.h"
 #include "ramphinge/fleet_control/link_key.h"
-#include "ramphinge/fleet_control/quarantine_keeper.h"
+#include "ramphinge/fleet_control/quarantine_sync.h"
 #include "ramphinge/fleet_control/store_sync.h"
 #include "ramphinge/fleet_control/suspicion_reporter.h"
 #include "ramphinge/net/loop_keeper.h"
@@ -196,9 +196,9 @@
         return options;
     }
 
-    static QuarantineKeeperOptions quarantineOptions(const FleetSettings &settings)
+    static QuarantineSyncOptions quarantineOptions(const FleetSettings &settings)
     {
-        QuarantineKeeperOptions options;
+        QuarantineSyncOptions options;
         options.daemon = settings.daemon;
         return options;
     }
@@ -302,7 +302,7 @@
             m_dispatch.fingerprintKey = linkKey->second.value;
         }
         m_dispatcher.serversChanged(m_fleet.servers);
-        m_quarantine.takeOver();
+        m_quarantine.applyStoredReports();
         const std::vector<DaemonRegistration> daemons = m_fleet.daemons();
         m_relays.setDaemons(daemons);
         updateLimitSharers(daemons);
@@ -489,7 +489,7 @@
     LinkKeyWriter m_linkKey;
     FormationRunner m_formation;
     SuspicionReporter m_suspicions;
-    QuarantineKeeper m_quarantine;
+    QuarantineSync m_quarantine;
     boost::asio::signal_set m_stopSignals;
     boost::asio::signal_set m_reloadSignal;
     std::shared_ptr<HttpServer> m_callerServer;
--- a/ramphinge/fleet_control/quarantine_keeper.cpp
+++ b/ramphinge/fleet_control/quarantine_sync.cpp
@@ -1,6 +1,6 @@
-// Replication of the quarantine through the store: see quarantine_keeper.h.
+// Replication of the quarantine through the store: see quarantine_sync.h.
 
-#include "ramphinge/fleet_control/quarantine_keeper.h"
+#include "ramphinge/fleet_control/quarantine_sync.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,14 +25,14 @@
 
 } // namespace
 
-QuarantineKeeper::QuarantineKeeper(IoContext &io, QuarantineKeeperOptions options,
-                                   KeyValueStore &store, FleetState &fleet, Quarantine &quarantine,
-                                   const KeyHolder &role, const Clock &clock, DecisionLog &log)
+QuarantineSync::QuarantineSync(IoContext &io, QuarantineSyncOptions options, KeyValueStore &store,
+                               FleetState &fleet, Quarantine &quarantine, const KeyHolder &role,
+                               const Clock &clock, DecisionLog &log)
     : m_io(io), m_options(std::move(options)), m_store(store), m_fleet(fleet),
       m_quarantine(quarantine), m_plannerRole(role), m_clock(clock), m_log(log)
 { }
 
-void QuarantineKeeper::run(Yield yield)
+void QuarantineSync::run(Yield yield)
 {
     while (!m_stopping) {
         sleepFor(m_io, m_options.pollInterval, yield);
@@ -40,7 +40,7 @@
     }
 }
 
-void QuarantineKeeper::round(Yield yield)
+void QuarantineSync::round(Yield yield)
 {
     if (m_clock.now() >= m_nextExpiryAt) {
         m_quarantine.expire(m_clock.now());
@@ -51,7 +51,7 @@
     logQuarantineChanges();
 }
 
-void QuarantineKeeper::takeOver()
+void QuarantineSync::applyStoredReports()
 {
     if (!m_fleet.synced)
         return;
@@ -75,7 +75,7 @@
     logQuarantineChanges();
 }
 
-void QuarantineKeeper::applyStoredReport(const StoreKey &key, const StoredValue &stored)
+void QuarantineSync::applyStoredReport(const StoreKey &key, const StoredValue &stored)
 {
     const auto applied = m_appliedRevisions.find(key);
     if (applied != m_appliedRevisions.end() && applied->second == stored.revision)
@@ -93,7 +93,7 @@
         m_quarantine.applyReport(sourceOf(key), std::move(report.value()), m_clock.now());
 }
 
-void QuarantineKeeper::publish(Yield yield)
+void QuarantineSync::publish(Yield yield)
 {
     const std::uint64_t version = m_quarantine.ownVersion();
     const MonotonicTime now = m_clock.now();
@@ -124,7 +124,7 @@
 
 // Grants a new lease instead of renewing: reports are written rarely, and each write restarts the
 // lifetime of the report.
-bool QuarantineKeeper::ensureLease(Yield yield)
+bool QuarantineSync::ensureLease(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
     const bool isFresh =
@@ -142,8 +142,8 @@
     return true;
 }
 
-Status QuarantineKeeper::write(const StoreKey &key, const std::string &text, LeaseId lease,
-                               Yield yield)
+Status QuarantineSync::write(const StoreKey &key, const std::string &text, LeaseId lease,
+                             Yield yield)
 {
     const auto present = m_fleet.ownKeys.find(key);
     const Revision expected =
@@ -162,7 +162,7 @@
 
 // Without this document a request would leave the quarantine ten minutes after the daemons that
 // observed its crashes have stopped.
-void QuarantineKeeper::persistQuarantined(Yield yield)
+void QuarantineSync::persistQuarantined(Yield yield)
 {
     const MonotonicTime now = m_clock.now();
     if (!m_ownReportRestored || now < m_nextHeldCheckAt || !m_plannerRole.holds(now)
@@ -179,10 +179,10 @@
     if (text == presentText)
         return;
     if (write(key, text, noLease, yield).ok())
-        takeOver();
+        applyStoredReports();
 }
 
-void QuarantineKeeper::logQuarantineChanges()
+void QuarantineSync::logQuarantineChanges()
 {
     if (m_loggedVersion == m_quarantine.version())
         return;
@@ -205,7 +205,7 @@
     });
 }
 
-Result<CrashReport> QuarantineKeeper::triedRequests() const
+Result<CrashReport> QuarantineSync::triedRequests() const
 {
     const auto present = m_fleet.ownKeys.find(FleetKeys::triedRequests());
     if (present == m_fleet.ownKeys.end())
@@ -215,7 +215,7 @@
 
 // Grants no trial if the list of tried requests can't be read or is full for the account: without
 // an entry in it a request might be tried repeatedly.
-bool QuarantineKeeper::grantTrial(const RequestFingerprint &fingerprint, Yield yield)
+bool QuarantineSync::grantTrial(const RequestFingerprint &fingerprint, Yield yield)
 {
     const auto since = m_quarantinedSince.find(fingerprint);
     const bool isTrialDue =
--- a/ramphinge/fleet_control/quarantine_keeper.h
+++ b/ramphinge/fleet_control/quarantine_sync.h
@@ -11,8 +11,8 @@
 // it everywhere, another crash leaves it to the operators. A compare-and-swap on the list of
 // retried requests decides which daemon sends it.
 //
-//   keeper.takeOver();  // After each change of the view.
-//   keeper.run(yield);  // Publishes this daemon's changes.
+//   sync.applyStoredReports();  // After each change of the view.
+//   sync.run(yield);  // Publishes this daemon's changes.
 
 #pragma once
 
@@ -27,7 +27,7 @@
 
 namespace ramphinge {
 
-struct QuarantineKeeperOptions
+struct QuarantineSyncOptions
 {
     DaemonId daemon;
     // How often run() checks for changes to publish. Short, since the request may crash a server at
@@ -54,12 +54,12 @@
 };
 
 // Lives on the event loop.
-class QuarantineKeeper : public TrialGranter
+class QuarantineSync : public TrialGranter
 {
 public:
-    QuarantineKeeper(IoContext &io, QuarantineKeeperOptions options, KeyValueStore &store,
-                     FleetState &fleet, Quarantine &quarantine, const KeyHolder &role,
-                     const Clock &clock, DecisionLog &log);
+    QuarantineSync(IoContext &io, QuarantineSyncOptions options, KeyValueStore &store,
+                   FleetState &fleet, Quarantine &quarantine, const KeyHolder &role,
+                   const Clock &clock, DecisionLog &log);
 
     // Runs until stop().
     void run(Yield yield);
@@ -70,7 +70,7 @@
     bool grantTrial(const RequestFingerprint &fingerprint, Yield yield) override;
 
     // Applies the reports that others have published. Call after each change of the view.
-    void takeOver();
+    void applyStoredReports();
 
 private:
     void applyStoredReport(const StoreKey &key, const StoredValue &stored);
@@ -82,7 +82,7 @@
     void logQuarantineChanges();
 
     IoContext &m_io;
-    QuarantineKeeperOptions m_options;
+    QuarantineSyncOptions m_options;
     KeyValueStore &m_store;
     FleetState &m_fleet;
     Quarantine &m_quarantine;
--- a/ramphinge/fleet_control/quarantine_keeper_test.cpp
+++ b/ramphinge/fleet_control/quarantine_sync_test.cpp
@@ -2,8 +2,8 @@
 // releases by operators.
 
 #include "ramphinge/fleet_control/internal/daemon_fixture.h"
-#include "ramphinge/fleet_control/quarantine_keeper.h"
 #include "ramphinge/fleet_control/quarantine_operations.h"
+#include "ramphinge/fleet_control/quarantine_sync.h"
 #include "ramphinge/testing/cppunit_main.h"
 
 using namespace ramphinge;
@@ -15,18 +15,18 @@
 const HostId secondServer("s2");
 const HostId thirdServer("s3");
 
-// One daemon's view of the store, its quarantine, and the QuarantineKeeper that connects them.
+// One daemon's view of the store, its quarantine, and the QuarantineSync that connects them.
 struct Daemon
 {
     Daemon(IoContext &io, ManualClock &clock, KeyValueStore &store, const std::string &name)
         : parts(io, clock, store, name), clock(clock),
-          keeper(io, options(name), store, parts.fleet, parts.dispatch.quarantine, parts.role,
-                 clock, parts.log)
+          quarantineSync(io, options(name), store, parts.fleet, parts.dispatch.quarantine,
+                         parts.role, clock, parts.log)
     { }
 
-    static QuarantineKeeperOptions options(const std::string &name)
+    static QuarantineSyncOptions options(const std::string &name)
     {
-        QuarantineKeeperOptions options;
+        QuarantineSyncOptions options;
         options.daemon = DaemonId(name);
         return options;
     }
@@ -35,13 +35,13 @@
     void receive(Yield yield)
     {
         parts.sync.round(yield);
-        keeper.takeOver();
+        quarantineSync.applyStoredReports();
     }
 
     void publish(Yield yield)
     {
         clock.advance(std::chrono::milliseconds(250)); // The minimum time between two reports.
-        keeper.round(yield);
+        quarantineSync.round(yield);
     }
 
     bool recordCrash(const HostId &server)
@@ -55,12 +55,12 @@
 
     DaemonParts parts;
     ManualClock &clock;
-    QuarantineKeeper keeper;
+    QuarantineSync quarantineSync;
 };
 
-class QuarantineKeeperTest : public CppUnit::TestFixture
+class QuarantineSyncTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(QuarantineKeeperTest);
+    CPPUNIT_TEST_SUITE(QuarantineSyncTest);
     CPPUNIT_TEST(crashesSeenByDifferentDaemonsAddUp);
     CPPUNIT_TEST(reportsOutliveKilledDaemons);
     CPPUNIT_TEST(daemonRestoresTheReportOfItsPreviousProcess);
@@ -228,17 +228,18 @@
             daemons[0]->recordCrash(secondServer);
             daemons[0]->publish(yield);
             daemons[1]->receive(yield);
-            CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(crashingRequest, yield)); // Too early.
+            CPPUNIT_ASSERT(
+                !daemons[1]->quarantineSync.grantTrial(crashingRequest, yield)); // Too early.
             clock.advance(std::chrono::seconds(5));
-            CPPUNIT_ASSERT(daemons[1]->keeper.grantTrial(crashingRequest, yield));
-            CPPUNIT_ASSERT(!daemons[1]->keeper.grantTrial(crashingRequest, yield));
+            CPPUNIT_ASSERT(daemons[1]->quarantineSync.grantTrial(crashingRequest, yield));
+            CPPUNIT_ASSERT(!daemons[1]->quarantineSync.grantTrial(crashingRequest, yield));
             // Has not received the grant; the store rejects its write.
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(crashingRequest, yield));
+            CPPUNIT_ASSERT(!daemons[0]->quarantineSync.grantTrial(crashingRequest, yield));
             for (int minute = 0; minute < 3; ++minute) {
                 clock.advance(std::chrono::minutes(1));
                 for (auto &daemon : daemons) {
                     daemon->receive(yield);
-                    CPPUNIT_ASSERT(!daemon->keeper.grantTrial(crashingRequest, yield));
+                    CPPUNIT_ASSERT(!daemon->quarantineSync.grantTrial(crashingRequest, yield));
                 }
             }
         });
@@ -252,10 +253,11 @@
             daemons[0]->publish(yield);
             clock.advance(std::chrono::seconds(5));
             store.setDown(true);
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(crashingRequest, yield));
+            CPPUNIT_ASSERT(!daemons[0]->quarantineSync.grantTrial(crashingRequest, yield));
             daemons[0]->receive(yield); // Detects that the store is unreachable.
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(crashingRequest, yield));
-            CPPUNIT_ASSERT(!daemons[0]->keeper.grantTrial(RequestFingerprint("unknown"), yield));
+            CPPUNIT_ASSERT(!daemons[0]->quarantineSync.grantTrial(crashingRequest, yield));
+            CPPUNIT_ASSERT(
+                !daemons[0]->quarantineSync.grantTrial(RequestFingerprint("unknown"), yield));
         });
     }
 
@@ -305,6 +307,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(QuarantineKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(QuarantineSyncTest);
 
 } // namespace
