--- a/ctl/quarantine_commands.cpp
+++ b/ctl/quarantine_commands.cpp
@@ -35,8 +35,9 @@
 
 Result<CrashReport> listQuarantinedRequests(const std::string &store)
 {
-    return withStore<Result<CrashReport>>(
-        store, [](KeyValueStore &client, Yield yield) { return readHeldRequests(client, yield); });
+    return withStore<Result<CrashReport>>(store, [](KeyValueStore &client, Yield yield) {
+        return readQuarantinedRequests(client, yield);
+    });
 }
 
 Status releaseQuarantinedRequest(const std::string &store, const std::string &fingerprint)
--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -296,8 +296,8 @@
     void onFleetChange()
     {
         markLeaving();
-        const auto linkKey = m_fleet.ownKeys.find(FleetKeys::linkKey());
-        if (linkKey != m_fleet.ownKeys.end()) {
+        const auto linkKey = m_fleet.daemonKeys.find(FleetKeys::linkKey());
+        if (linkKey != m_fleet.daemonKeys.end()) {
             m_relays.setKey(linkKey->second.value);
             m_dispatch.fingerprintKey = linkKey->second.value;
         }
--- a/ramphinge/fleet_control/fleet_control_test.cpp
+++ b/ramphinge/fleet_control/fleet_control_test.cpp
@@ -276,7 +276,7 @@
                 registration.round(yield);
                 for (int other = 0; other < daemons; ++other)
                     daemon.fleet
-                        .ownKeys[FleetKeys::daemon(DaemonId("d" + std::to_string(other)))] = {};
+                        .daemonKeys[FleetKeys::daemon(DaemonId("d" + std::to_string(other)))] = {};
                 PlannedReplica replica;
                 replica.replica = ReplicaId("r");
                 replica.phase = ReplicaPhase::Ready;
--- a/ramphinge/fleet_control/fleet_state.cpp
+++ b/ramphinge/fleet_control/fleet_state.cpp
@@ -17,14 +17,14 @@
 
 } // namespace
 
-void FleetState::noteWritten(const StoreKey &key, StoredValue written)
+void FleetState::recordWrite(const StoreKey &key, StoredValue written)
 {
-    const auto present = ownKeys.find(key);
-    if (present == ownKeys.end() || present->second.revision < written.revision)
-        ownKeys[key] = std::move(written);
+    const auto present = daemonKeys.find(key);
+    if (present == daemonKeys.end() || present->second.revision < written.revision)
+        daemonKeys[key] = std::move(written);
 }
 
-Status FleetState::takePlan(const StoredValue &stored)
+Status FleetState::applyPlan(const StoredValue &stored)
 {
     if (stored.revision < planRevision)
         return Done {};
@@ -40,8 +40,8 @@
 {
     const std::size_t prefix = FleetKeys::daemonPrefix().text().size();
     std::vector<DaemonRegistration> daemons;
-    for (auto entry = ownKeys.lower_bound(FleetKeys::daemonPrefix());
-         entry != ownKeys.end() && isDaemonKey(entry->first); ++entry)
+    for (auto entry = daemonKeys.lower_bound(FleetKeys::daemonPrefix());
+         entry != daemonKeys.end() && isDaemonKey(entry->first); ++entry)
         daemons.push_back(
             parseRegistration(DaemonId(entry->first.text().substr(prefix)), entry->second.value));
     return daemons;
@@ -49,9 +49,9 @@
 
 int FleetState::daemonCount() const
 {
-    return static_cast<int>(std::count_if(ownKeys.begin(), ownKeys.end(), [](const auto &entry) {
-        return isDaemonKey(entry.first);
-    }));
+    return static_cast<int>(
+        std::count_if(daemonKeys.begin(), daemonKeys.end(),
+                      [](const auto &entry) { return isDaemonKey(entry.first); }));
 }
 
 int FleetState::daemonsInZone(const ZoneId &zone) const
--- a/ramphinge/fleet_control/fleet_state.h
+++ b/ramphinge/fleet_control/fleet_state.h
@@ -24,15 +24,15 @@
     static StoreKey daemonPrefix() { return StoreKey("ramphinge/daemons/"); }
     // Crash reports: one a daemon, the quarantined requests, those on trial, and those that
     // operators released.
-    static StoreKey crashPrefix() { return StoreKey("ramphinge/crashes/"); }
-    static StoreKey crashes(const DaemonId &daemon)
+    static StoreKey crashReportPrefix() { return StoreKey("ramphinge/crashes/"); }
+    static StoreKey crashReport(const DaemonId &daemon)
     {
-        return StoreKey(crashPrefix().text() + "seen-by/" + daemon.text());
+        return StoreKey(crashReportPrefix().text() + "seen-by/" + daemon.text());
     }
-    static StoreKey heldRequests() { return StoreKey(crashPrefix().text() + "held"); }
+    static StoreKey heldRequests() { return StoreKey(crashReportPrefix().text() + "held"); }
     // The requests that were sent once more on trial. Its records list no crashes.
-    static StoreKey triedRequests() { return StoreKey(crashPrefix().text() + "tried"); }
-    static StoreKey releasedRequests() { return StoreKey(crashPrefix().text() + "released"); }
+    static StoreKey triedRequests() { return StoreKey(crashReportPrefix().text() + "tried"); }
+    static StoreKey releasedRequests() { return StoreKey(crashReportPrefix().text() + "released"); }
     static StoreKey suspicionPrefix() { return StoreKey("ramphinge/suspicions/"); }
     static StoreKey suspicions(const DaemonId &daemon)
     {
@@ -49,18 +49,18 @@
     FleetView servers;
     ReplicaPlan plan;
     Revision planRevision; // Of `plan`; absentRevision if none was ever written.
-    std::map<StoreKey, StoredValue> ownKeys; // All keys that daemons write, but the plan.
+    std::map<StoreKey, StoredValue> daemonKeys; // All keys that daemons write, but the plan.
     std::int64_t unreadableEntries = 0; // Server entries that could not be decoded so far.
     bool synced = false; // The store was listed, and its changes followed without a gap.
     bool storeReachable = false;
 
-    // Records this daemon's own write of one of `ownKeys`. A newer revision, which a watch may have
-    // delivered before the answer to the write, stays.
-    void noteWritten(const StoreKey &key, StoredValue written);
+    // Records this daemon's own write of one of `daemonKeys`. A newer revision, which a watch may
+    // have delivered before the answer to the write, stays.
+    void recordWrite(const StoreKey &key, StoredValue written);
 
     // Applies the plan unless it is older than the current one. Errors: InvalidInput; the current
     // plan stays.
-    Status takePlan(const StoredValue &stored);
+    Status applyPlan(const StoredValue &stored);
 
     std::vector<DaemonRegistration> daemons() const;
     int daemonCount() const;
--- a/ramphinge/fleet_control/formation_runner.cpp
+++ b/ramphinge/fleet_control/formation_runner.cpp
@@ -73,8 +73,8 @@
 // daemon's term began.
 void FormationRunner::adoptStoredOrders()
 {
-    const auto found = m_fleet.ownKeys.find(FleetKeys::orders());
-    if (found == m_fleet.ownKeys.end() || found->second.revision == m_pendingOrdersRevision)
+    const auto found = m_fleet.daemonKeys.find(FleetKeys::orders());
+    if (found == m_fleet.daemonKeys.end() || found->second.revision == m_pendingOrdersRevision)
         return;
     m_pendingOrdersRevision = found->second.revision;
     if (found->second.value == m_uncertainLedger)
@@ -133,7 +133,7 @@
     }
     m_writtenLedger = pendingOrders;
     m_pendingOrdersRevision = written.value();
-    m_fleet.noteWritten(FleetKeys::orders(), { text, written.value() });
+    m_fleet.recordWrite(FleetKeys::orders(), { text, written.value() });
     return true;
 }
 
@@ -144,7 +144,7 @@
         checkReplica(replica, now);
     std::map<StoreKey, Revision> read; // Without removed keys.
     const std::string prefix = FleetKeys::suspicionPrefix().text();
-    for (const auto &[key, stored] : m_fleet.ownKeys) {
+    for (const auto &[key, stored] : m_fleet.daemonKeys) {
         if (key.text().compare(0, prefix.size(), prefix) != 0)
             continue;
         read[key] = stored.revision;
@@ -351,7 +351,7 @@
     for (const StoredEntry &entry : read.value().entries) {
         if (entry.key != FleetKeys::plan())
             continue;
-        if (const Status applied = m_fleet.takePlan(entry.stored); !applied.ok())
+        if (const Status applied = m_fleet.applyPlan(entry.stored); !applied.ok())
             m_log.write("plan_unreadable", LogWeight::Belief,
                         { { "why", applied.error().message() } });
     }
--- a/ramphinge/fleet_control/key_holder.cpp
+++ b/ramphinge/fleet_control/key_holder.cpp
@@ -29,14 +29,14 @@
     if (m_held)
         renew(yield);
     else if (m_fleet.synced && m_fleet.storeReachable
-             && (m_options.replaceExisting || m_fleet.ownKeys.count(m_options.key) == 0))
+             && (m_options.replaceExisting || m_fleet.daemonKeys.count(m_options.key) == 0))
         tryToAcquire(yield);
 }
 
 void KeyHolder::tryToAcquire(Yield yield)
 {
     sleepFor(m_io, m_options.precedence + scaled(m_options.contention, m_random.fraction()), yield);
-    const bool taken = m_fleet.ownKeys.count(m_options.key) > 0;
+    const bool taken = m_fleet.daemonKeys.count(m_options.key) > 0;
     if (m_stopping || !m_fleet.storeReachable || (taken && !m_options.replaceExisting))
         return;
     const MonotonicTime sentAt = m_clock.now();
@@ -46,8 +46,8 @@
         return;
     }
     // Looked up after the grant: the key may have lapsed in the meantime.
-    const auto present = m_fleet.ownKeys.find(m_options.key);
-    const bool replaces = m_options.replaceExisting && present != m_fleet.ownKeys.end();
+    const auto present = m_fleet.daemonKeys.find(m_options.key);
+    const bool replaces = m_options.replaceExisting && present != m_fleet.daemonKeys.end();
     const Revision expected = replaces ? present->second.revision : absentRevision;
     const Result<Revision> written = m_store.commit(
         { { m_options.key, m_options.value, expected, granted.value().lease } }, yield);
@@ -61,7 +61,7 @@
     m_leaseLifetime = granted.value().lifetime;
     m_term = LeaseTerm(sentAt, m_leaseLifetime, m_options.margin);
     m_held = true;
-    m_fleet.noteWritten(m_options.key, { m_options.value, written.value() });
+    m_fleet.recordWrite(m_options.key, { m_options.value, written.value() });
     m_log.write("key_taken", LogWeight::Belief,
                 { { "key", m_options.key.text() },
                   { "revision", written.value().count() },
--- a/ramphinge/fleet_control/key_holder_test.cpp
+++ b/ramphinge/fleet_control/key_holder_test.cpp
@@ -178,7 +178,7 @@
             };
             daemon.role.round(yield);
             CPPUNIT_ASSERT_EQUAL(std::string("d2"),
-                                 daemon.fleet.ownKeys[FleetKeys::planner()].value);
+                                 daemon.fleet.daemonKeys[FleetKeys::planner()].value);
         });
     }
 
--- a/ramphinge/fleet_control/link_key.cpp
+++ b/ramphinge/fleet_control/link_key.cpp
@@ -21,7 +21,7 @@
 
 void LinkKeyWriter::round(Yield yield)
 {
-    const bool isMissing = m_fleet.synced && m_fleet.ownKeys.count(FleetKeys::linkKey()) == 0;
+    const bool isMissing = m_fleet.synced && m_fleet.daemonKeys.count(FleetKeys::linkKey()) == 0;
     if (!isMissing || !m_plannerRole.holds(m_clock.now()))
         return;
     const std::string secret = m_random.token() + m_random.token();
@@ -31,7 +31,7 @@
                 { { "done", written.ok() },
                   { "why", written.ok() ? std::string() : written.error().message() } });
     if (written.ok())
-        m_fleet.noteWritten(FleetKeys::linkKey(), { secret, written.value() });
+        m_fleet.recordWrite(FleetKeys::linkKey(), { secret, written.value() });
 }
 
 } // namespace ramphinge
--- a/ramphinge/fleet_control/quarantine_operations.cpp
+++ b/ramphinge/fleet_control/quarantine_operations.cpp
@@ -21,7 +21,7 @@
 
 Result<StoredReports> readReports(KeyValueStore &store, Yield yield)
 {
-    const Result<StoreSnapshot> snapshot = store.list(FleetKeys::crashPrefix(), yield);
+    const Result<StoreSnapshot> snapshot = store.list(FleetKeys::crashReportPrefix(), yield);
     if (!snapshot.ok())
         return snapshot.error();
     StoredReports reports;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Result<CrashReport> readHeldRequests(KeyValueStore &store, Yield yield)
+Result<CrashReport> readQuarantinedRequests(KeyValueStore &store, Yield yield)
 {
     const Result<StoredReports> reports = readReports(store, yield);
     if (!reports.ok())
--- a/ramphinge/fleet_control/quarantine_operations.h
+++ b/ramphinge/fleet_control/quarantine_operations.h
@@ -10,7 +10,7 @@
 
 // The requests that are quarantined according to the store's current content. Errors: those of the
 // store.
-Result<CrashReport> readHeldRequests(KeyValueStore &store, Yield yield);
+Result<CrashReport> readQuarantinedRequests(KeyValueStore &store, Yield yield);
 
 // Excuses all known crashes under the request, so that daemons send it again. It is quarantined
 // again once it has crashed as many servers again. Errors: NotFound if it isn't quarantined; those
--- a/ramphinge/fleet_control/quarantine_sync.cpp
+++ b/ramphinge/fleet_control/quarantine_sync.cpp
@@ -19,7 +19,7 @@
 
 bool isCrashReportKey(const StoreKey &key)
 {
-    const std::string prefix = FleetKeys::crashPrefix().text();
+    const std::string prefix = FleetKeys::crashReportPrefix().text();
     return key.text().compare(0, prefix.size(), prefix) == 0;
 }
 
@@ -55,19 +55,19 @@
 {
     if (!m_fleet.synced)
         return;
-    const StoreKey own = FleetKeys::crashes(m_options.daemon);
-    for (auto entry = m_fleet.ownKeys.lower_bound(FleetKeys::crashPrefix());
-         entry != m_fleet.ownKeys.end() && isCrashReportKey(entry->first); ++entry) {
+    const StoreKey own = FleetKeys::crashReport(m_options.daemon);
+    for (auto entry = m_fleet.daemonKeys.lower_bound(FleetKeys::crashReportPrefix());
+         entry != m_fleet.daemonKeys.end() && isCrashReportKey(entry->first); ++entry) {
         if (entry->first == own && m_ownReportRestored)
             continue; // Written by this process itself.
         applyStoredReport(entry->first, entry->second);
     }
-    const bool ownLapsed = m_ownReportRestored && m_fleet.ownKeys.count(own) == 0;
+    const bool ownLapsed = m_ownReportRestored && m_fleet.daemonKeys.count(own) == 0;
     if (ownLapsed && !m_quarantine.own().empty())
         m_publishedVersion = 0; // It lapsed with its lease; what is still valid is published again.
     m_ownReportRestored = true;
     eraseIf(m_appliedRevisions, [this](const auto &applied) {
-        const bool isGone = m_fleet.ownKeys.count(applied.first) == 0;
+        const bool isGone = m_fleet.daemonKeys.count(applied.first) == 0;
         if (isGone)
             m_quarantine.removeReport(sourceOf(applied.first));
         return isGone;
@@ -87,7 +87,7 @@
                     { { "key", key.text() }, { "why", report.error().message() } });
         return;
     }
-    if (key == FleetKeys::crashes(m_options.daemon))
+    if (key == FleetKeys::crashReport(m_options.daemon))
         m_quarantine.adopt(report.value(), m_clock.now());
     else
         m_quarantine.applyReport(sourceOf(key), std::move(report.value()), m_clock.now());
@@ -104,8 +104,8 @@
         m_quarantine.ownAddedVersion() > m_publishedVersion || m_publishedVersion == 0;
     if (!hasAdditions && now - m_reportWrittenAt < m_options.removalReportSpacing)
         return;
-    const StoreKey key = FleetKeys::crashes(m_options.daemon);
-    if (m_quarantine.own().empty() && m_fleet.ownKeys.count(key) == 0) {
+    const StoreKey key = FleetKeys::crashReport(m_options.daemon);
+    if (m_quarantine.own().empty() && m_fleet.daemonKeys.count(key) == 0) {
         m_publishedVersion = version;
         return;
     }
@@ -145,9 +145,9 @@
 Status QuarantineSync::write(const StoreKey &key, const std::string &text, LeaseId lease,
                              Yield yield)
 {
-    const auto present = m_fleet.ownKeys.find(key);
+    const auto present = m_fleet.daemonKeys.find(key);
     const Revision expected =
-        present == m_fleet.ownKeys.end() ? absentRevision : present->second.revision;
+        present == m_fleet.daemonKeys.end() ? absentRevision : present->second.revision;
     const Result<Revision> written = m_store.commit({ { key, text, expected, lease } }, yield);
     m_log.write("crash_report_written", LogWeight::Belief,
                 { { "key", key.text() },
@@ -156,7 +156,7 @@
                   { "why", written.ok() ? std::string() : written.error().message() } });
     if (!written.ok())
         return written.error();
-    m_fleet.noteWritten(key, { text, written.value() });
+    m_fleet.recordWrite(key, { text, written.value() });
     return Done {};
 }
 
@@ -170,12 +170,12 @@
         return;
     m_nextHeldCheckAt = now + m_options.plannerCheckInterval;
     const StoreKey key = FleetKeys::heldRequests();
-    const auto present = m_fleet.ownKeys.find(key);
+    const auto present = m_fleet.daemonKeys.find(key);
     const std::string text = serializeCrashReport(newestOf(
         m_quarantine.quarantinedRequests(), maxReportedRequests, maxReportedRequestsPerAccount));
     const std::string emptyText = serializeCrashReport({});
     const std::string &presentText =
-        present == m_fleet.ownKeys.end() ? emptyText : present->second.value;
+        present == m_fleet.daemonKeys.end() ? emptyText : present->second.value;
     if (text == presentText)
         return;
     if (write(key, text, noLease, yield).ok())
@@ -207,8 +207,8 @@
 
 Result<CrashReport> QuarantineSync::triedRequests() const
 {
-    const auto present = m_fleet.ownKeys.find(FleetKeys::triedRequests());
-    if (present == m_fleet.ownKeys.end())
+    const auto present = m_fleet.daemonKeys.find(FleetKeys::triedRequests());
+    if (present == m_fleet.daemonKeys.end())
         return CrashReport();
     return parseCrashReport(present->second.value, maxReportedRequests);
 }
--- a/ramphinge/fleet_control/quarantine_sync_test.cpp
+++ b/ramphinge/fleet_control/quarantine_sync_test.cpp
@@ -169,7 +169,7 @@
             daemons[1]->publish(yield); // As planner.
             CPPUNIT_ASSERT(store.value(FleetKeys::heldRequests()));
             clock.advance(std::chrono::minutes(11));
-            CPPUNIT_ASSERT(!store.value(FleetKeys::crashes(DaemonId("d0"))));
+            CPPUNIT_ASSERT(!store.value(FleetKeys::crashReport(DaemonId("d0"))));
             IoContext unused(1);
             Daemon newcomer(unused, clock, store, "newcomer");
             newcomer.receive(yield);
@@ -209,9 +209,10 @@
             CPPUNIT_ASSERT(releaseRequest(store, crashingRequest, yield).error().kind()
                            == ErrorKind::NotFound); // Not published yet.
             daemons[0]->publish(yield);
-            CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, readHeldRequests(store, yield).value().size());
+            CPPUNIT_ASSERT_EQUAL(std::size_t { 1 },
+                                 readQuarantinedRequests(store, yield).value().size());
             CPPUNIT_ASSERT(releaseRequest(store, crashingRequest, yield).ok());
-            CPPUNIT_ASSERT(readHeldRequests(store, yield).value().empty());
+            CPPUNIT_ASSERT(readQuarantinedRequests(store, yield).value().empty());
             daemons[0]->receive(yield);
             CPPUNIT_ASSERT(!daemons[0]->holds());
             daemons[0]->recordCrash(thirdServer);
@@ -279,7 +280,7 @@
     void damagedReportIsIgnored()
     {
         withDaemons([](auto &daemons, MemoryKeyValueStore &store, ManualClock &, Yield yield) {
-            store.put(FleetKeys::crashes(DaemonId("strange")), "[[[");
+            store.put(FleetKeys::crashReport(DaemonId("strange")), "[[[");
             daemons[0]->recordCrash(firstServer);
             daemons[0]->publish(yield);
             daemons[1]->receive(yield);
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -275,7 +275,7 @@
     handleAnswer(m_lastDirectAnswerAt);
     m_syncedRevision = snapshot.value().upTo;
     std::vector<UpstreamServer> servers;
-    eraseIf(m_fleet.ownKeys,
+    eraseIf(m_fleet.daemonKeys,
             [&](const auto &entry) { return entry.second.revision <= m_syncedRevision; });
     for (const StoredEntry &entry : snapshot.value().entries) {
         const ServerName name = m_decoder.serverOf(entry.key);
@@ -462,20 +462,20 @@
     if (key == FleetKeys::plan()) {
         if (!stored)
             return;
-        if (const Status taken = m_fleet.takePlan(*stored); !taken.ok())
+        if (const Status taken = m_fleet.applyPlan(*stored); !taken.ok())
             m_log.write(
                 "plan_unreadable", LogWeight::Belief,
                 { { "revision", stored->revision.count() }, { "why", taken.error().message() } });
         return;
     }
     // This daemon's own write may be newer than the store's answer.
-    const auto present = m_fleet.ownKeys.find(key);
-    if (present != m_fleet.ownKeys.end() && m_syncedRevision < present->second.revision)
+    const auto present = m_fleet.daemonKeys.find(key);
+    if (present != m_fleet.daemonKeys.end() && m_syncedRevision < present->second.revision)
         return;
     if (stored)
-        m_fleet.ownKeys[key] = *stored;
+        m_fleet.daemonKeys[key] = *stored;
     else
-        m_fleet.ownKeys.erase(key);
+        m_fleet.daemonKeys.erase(key);
 }
 
 } // namespace ramphinge
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -574,16 +574,16 @@
             store.duringWatch = [&](Yield inner) {
                 const auto written =
                     store.commit({ { FleetKeys::orders(), "own", before } }, inner);
-                daemon.fleet.ownKeys[FleetKeys::orders()] = { "own", written.value() };
+                daemon.fleet.daemonKeys[FleetKeys::orders()] = { "own", written.value() };
             };
             daemon.sync.round(yield);
             CPPUNIT_ASSERT_EQUAL(std::string("own"),
-                                 daemon.fleet.ownKeys[FleetKeys::orders()].value);
+                                 daemon.fleet.daemonKeys[FleetKeys::orders()].value);
             daemon.sync.round(yield);
             store.put(FleetKeys::orders(), "of the next planner");
             daemon.sync.round(yield);
             CPPUNIT_ASSERT_EQUAL(std::string("of the next planner"),
-                                 daemon.fleet.ownKeys[FleetKeys::orders()].value);
+                                 daemon.fleet.daemonKeys[FleetKeys::orders()].value);
         });
     }
 
@@ -596,19 +596,22 @@
             DaemonParts daemon(io, clock, store, "d1");
             store.put(FleetKeys::planner(), "d2");
             daemon.sync.round(yield);
-            CPPUNIT_ASSERT_EQUAL(std::size_t(1), daemon.fleet.ownKeys.count(FleetKeys::planner()));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                                 daemon.fleet.daemonKeys.count(FleetKeys::planner()));
             store.erase(FleetKeys::planner());
             store.forgetHistory();
             daemon.sync.round(yield);
             store.duringList = [&](Yield inner) {
                 const auto written =
                     store.commit({ { FleetKeys::orders(), "own", absentRevision } }, inner);
-                daemon.fleet.noteWritten(FleetKeys::orders(), { "own", written.value() });
+                daemon.fleet.recordWrite(FleetKeys::orders(), { "own", written.value() });
             };
             daemon.sync.round(yield);
             CPPUNIT_ASSERT(daemon.fleet.synced);
-            CPPUNIT_ASSERT_EQUAL(std::size_t(0), daemon.fleet.ownKeys.count(FleetKeys::planner()));
-            CPPUNIT_ASSERT_EQUAL(std::size_t(1), daemon.fleet.ownKeys.count(FleetKeys::orders()));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(0),
+                                 daemon.fleet.daemonKeys.count(FleetKeys::planner()));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                                 daemon.fleet.daemonKeys.count(FleetKeys::orders()));
         });
     }
 
--- a/ramphinge/fleet_control/suspicion_reporter.cpp
+++ b/ramphinge/fleet_control/suspicion_reporter.cpp
@@ -76,9 +76,9 @@
     if (replicas.empty() || !m_fleet.storeReachable || !m_registration.holds(now))
         return;
     const StoreKey key = FleetKeys::suspicions(m_options.daemon);
-    const auto present = m_fleet.ownKeys.find(key);
+    const auto present = m_fleet.daemonKeys.find(key);
     const Revision expected =
-        present == m_fleet.ownKeys.end() ? absentRevision : present->second.revision;
+        present == m_fleet.daemonKeys.end() ? absentRevision : present->second.revision;
     const std::string text = serializeSuspicions(replicas);
     const Result<Revision> written =
         m_store.commit({ { key, text, expected, m_registration.lease() } }, yield);
@@ -88,7 +88,7 @@
                   { "told", written.ok() },
                   { "why", written.ok() ? std::string() : written.error().message() } });
     if (written.ok())
-        m_fleet.noteWritten(key, { text, written.value() });
+        m_fleet.recordWrite(key, { text, written.value() });
 }
 
 } // namespace ramphinge
