--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -143,12 +143,12 @@
 
     static StoreSyncOptions syncOptions(const FleetSettings &settings)
     {
-        PictureBounds bounds;
+        StalenessBounds bounds;
         bounds.changeInForce = std::min(settings.changeInForce, settings.leaveInForce);
         bounds.connectivityGrace = settings.connectivityGrace;
         bounds.serverHeartbeat = settings.serverHeartbeat;
         if (settings.keyRevocation)
-            bounds.proofLasts = *settings.keyRevocation - revocationMargin;
+            bounds.proofLifetime = *settings.keyRevocation - revocationMargin;
         return storeSyncOptions(bounds);
     }
 
@@ -172,7 +172,7 @@
         options.key = FleetKeys::daemon(settings.daemon);
         options.value = serializeRegistration(registrationOf(settings));
         options.lifetime = registrationLeaseLifetime;
-        options.renewal = registrationLeaseLifetime / 3;
+        options.renewalInterval = registrationLeaseLifetime / 3;
         options.replaceExisting = true;
         return options;
     }
@@ -183,9 +183,9 @@
         options.key = FleetKeys::planner();
         options.value = settings.daemon.text();
         options.lifetime = plannerLeaseLifetime;
-        options.renewal = plannerLeaseLifetime / 3;
+        options.renewalInterval = plannerLeaseLifetime / 3;
         if (settings.processorShare < minPlannerProcessorShare)
-            options.precedence = smallDaemonAcquireDelay;
+            options.acquireDelay = smallDaemonAcquireDelay;
         return options;
     }
 
@@ -449,9 +449,9 @@
             m_role.release(inner);
             m_registration.release(inner);
         });
-        sleepFor(m_io, schedule.takesUntil() - m_clock.now(), yield);
+        sleepFor(m_io, schedule.acceptsUntil() - m_clock.now(), yield);
         m_callerServer->stopAccepting();
-        while (m_callerServer->openExchanges() > 0 && m_clock.now() < schedule.endsAt())
+        while (m_callerServer->openExchanges() > 0 && m_clock.now() < schedule.exitsAt())
             sleepFor(m_io, drainPollInterval, yield);
         if (m_callerServer->openExchanges() > 0)
             logWarning("daemon", "grace period ended with requests still in progress",
--- a/ramphinge/fleet_control/drain_schedule.h
+++ b/ramphinge/fleet_control/drain_schedule.h
@@ -16,13 +16,13 @@
 
     // Until when requests are accepted: the load balancer sends callers until it has seen two
     // failed health checks, a second apart. Later requests might not finish within the grace.
-    MonotonicTime takesUntil() const
+    MonotonicTime acceptsUntil() const
     {
         return m_signalAt + std::min(balancerReactionTime, m_grace / 3);
     }
 
     // When the process exits, even with requests still in progress.
-    MonotonicTime endsAt() const
+    MonotonicTime exitsAt() const
     {
         return m_signalAt + m_grace - std::min(shutdownTime, m_grace / 4);
     }
--- a/ramphinge/fleet_control/fleet_control_test.cpp
+++ b/ramphinge/fleet_control/fleet_control_test.cpp
@@ -234,7 +234,7 @@
             DaemonParts daemon(io, env.clock, store, "d2");
             KeyHolderOptions options;
             options.key = FleetKeys::daemon(DaemonId("d2"));
-            options.contention = {};
+            options.maxAcquireJitter = {};
             KeyHolder registration(io, env.clock, options, store, daemon.fleet, daemon.log);
             daemon.sync.round(yield);
             registration.round(yield);
@@ -270,7 +270,7 @@
                 DaemonParts daemon(io, env.clock, store, name.text());
                 KeyHolderOptions options;
                 options.key = FleetKeys::daemon(name);
-                options.contention = {};
+                options.maxAcquireJitter = {};
                 KeyHolder registration(io, env.clock, options, store, daemon.fleet, daemon.log);
                 daemon.sync.round(yield);
                 registration.round(yield);
@@ -307,13 +307,13 @@
         const DrainSchedule schedule(signalAt, std::chrono::seconds(8));
         // The load balancer may need two health checks, a second apart; 3 s is the latest for a new
         // request.
-        CPPUNIT_ASSERT(schedule.takesUntil() > signalAt + std::chrono::seconds(2));
-        CPPUNIT_ASSERT(schedule.takesUntil() < signalAt + std::chrono::seconds(3));
-        CPPUNIT_ASSERT(schedule.endsAt() < signalAt + std::chrono::seconds(8));
+        CPPUNIT_ASSERT(schedule.acceptsUntil() > signalAt + std::chrono::seconds(2));
+        CPPUNIT_ASSERT(schedule.acceptsUntil() < signalAt + std::chrono::seconds(3));
+        CPPUNIT_ASSERT(schedule.exitsAt() < signalAt + std::chrono::seconds(8));
         // The last sixth of the grace is left for requests in progress.
-        CPPUNIT_ASSERT(schedule.endsAt() > signalAt + std::chrono::milliseconds(6667));
+        CPPUNIT_ASSERT(schedule.exitsAt() > signalAt + std::chrono::milliseconds(6667));
         const DrainSchedule brief(signalAt, std::chrono::seconds(1));
-        CPPUNIT_ASSERT(brief.takesUntil() < brief.endsAt());
+        CPPUNIT_ASSERT(brief.acceptsUntil() < brief.exitsAt());
     }
 
 private:
--- a/ramphinge/fleet_control/internal/daemon_fixture.h
+++ b/ramphinge/fleet_control/internal/daemon_fixture.h
@@ -112,8 +112,8 @@
         KeyHolderOptions options;
         options.key = FleetKeys::planner();
         options.value = name;
-        options.contention = {};
-        options.renewal = {}; // No delays after failures.
+        options.maxAcquireJitter = {};
+        options.renewalInterval = {}; // No delays after failures.
         return options;
     }
 
--- a/ramphinge/fleet_control/key_holder.cpp
+++ b/ramphinge/fleet_control/key_holder.cpp
@@ -20,7 +20,7 @@
 {
     while (!m_stopping) {
         round(yield);
-        sleepFor(m_io, m_held ? m_options.renewal : pollInterval, yield);
+        sleepFor(m_io, m_held ? m_options.renewalInterval : pollInterval, yield);
     }
 }
 
@@ -35,14 +35,15 @@
 
 void KeyHolder::tryToAcquire(Yield yield)
 {
-    sleepFor(m_io, m_options.precedence + scaled(m_options.contention, m_random.fraction()), yield);
+    sleepFor(m_io, m_options.acquireDelay + scaled(m_options.maxAcquireJitter, m_random.fraction()),
+             yield);
     const bool taken = m_fleet.daemonKeys.count(m_options.key) > 0;
     if (m_stopping || !m_fleet.storeReachable || (taken && !m_options.replaceExisting))
         return;
     const MonotonicTime sentAt = m_clock.now();
     const Result<GrantedLease> granted = m_store.grantLease(m_options.lifetime, yield);
     if (!granted.ok()) {
-        sleepFor(m_io, m_random.jittered(m_options.renewal, 1.0), yield);
+        sleepFor(m_io, m_random.jittered(m_options.renewalInterval, 1.0), yield);
         return;
     }
     // Looked up after the grant: the key may have lapsed in the meantime.
@@ -54,7 +55,7 @@
     if (!written.ok()) {
         // Whether or not the key was written, it is removed with the lease.
         static_cast<void>(m_store.endLease(granted.value().lease, yield));
-        sleepFor(m_io, m_random.jittered(m_options.renewal, 1.0), yield);
+        sleepFor(m_io, m_random.jittered(m_options.renewalInterval, 1.0), yield);
         return;
     }
     m_lease = granted.value().lease;
--- a/ramphinge/fleet_control/key_holder.h
+++ b/ramphinge/fleet_control/key_holder.h
@@ -18,15 +18,15 @@
     std::string value;
     Duration lifetime = std::chrono::seconds(3); // Of the lease.
     // Time between renewals; several must fit in the lifetime.
-    Duration renewal = std::chrono::seconds(1);
+    Duration renewalInterval = std::chrono::seconds(1);
     // Subtracted from the lifetime, for clock drift and network delay.
     Duration margin = std::chrono::milliseconds(400);
     // Upper bound of the random delay before acquiring a free key, so that one daemon writes it
     // first and the others see it.
-    Duration contention = std::chrono::milliseconds(300);
+    Duration maxAcquireJitter = std::chrono::milliseconds(300);
     // Additional fixed delay, for a daemon that is to hold the key only if no better suited one
     // acquires it.
-    Duration precedence {};
+    Duration acquireDelay {};
     // Replaces an existing key: it can only be left from this daemon's previous process.
     bool replaceExisting = false;
 };
--- a/ramphinge/fleet_control/key_holder_test.cpp
+++ b/ramphinge/fleet_control/key_holder_test.cpp
@@ -51,7 +51,7 @@
             DaemonParts delayed(io, env.clock, store, "weak");
             DaemonParts prompt(io, env.clock, store, "strong");
             KeyHolderOptions options = DaemonParts::roleOptions("weak");
-            options.precedence = std::chrono::milliseconds(500);
+            options.acquireDelay = std::chrono::milliseconds(500);
             KeyHolder role(io, env.clock, options, store, delayed.fleet, delayed.log);
             delayed.sync.round(yield);
             prompt.sync.round(yield);
--- a/ramphinge/fleet_control/relayed_sync_test.cpp
+++ b/ramphinge/fleet_control/relayed_sync_test.cpp
@@ -67,10 +67,10 @@
 
 StoreSyncOptions largeFleetOptions()
 {
-    PictureBounds bounds;
+    StalenessBounds bounds;
     bounds.changeInForce = std::chrono::seconds(4);
     bounds.connectivityGrace = std::chrono::seconds(5);
-    bounds.proofLasts = std::chrono::milliseconds(4500);
+    bounds.proofLifetime = std::chrono::milliseconds(4500);
     return storeSyncOptions(bounds);
 }
 
@@ -358,7 +358,7 @@
     void relayTimesFitTheBounds()
     {
         for (int seconds = 3; seconds <= 12; ++seconds) {
-            PictureBounds bounds;
+            StalenessBounds bounds;
             bounds.changeInForce = std::chrono::seconds(seconds);
             bounds.connectivityGrace = std::chrono::seconds(seconds + 1);
             const StoreSyncOptions options = storeSyncOptions(bounds);
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -63,11 +63,11 @@
 // fails only after `watchLateness`. Then the store is called, which takes up to `recoveryTime`. All
 // of that must fit within the bounds. A relay's own proof is up to two of its watches and one
 // batching delay old, and the relay may let the request wait.
-void setRelayTimes(StoreSyncOptions &options, const PictureBounds &bounds)
+void setRelayTimes(StoreSyncOptions &options, const StalenessBounds &bounds)
 {
     Duration strictest = std::min(bounds.changeInForce, bounds.connectivityGrace);
-    if (bounds.proofLasts)
-        strictest = std::min(strictest, *bounds.proofLasts);
+    if (bounds.proofLifetime)
+        strictest = std::min(strictest, *bounds.proofLifetime);
     const Duration age = strictest - watchLateness - 2 * recoveryTime;
     if (age < minRelayedAge)
         return;
@@ -82,15 +82,15 @@
 
 } // namespace
 
-StoreSyncOptions storeSyncOptions(const PictureBounds &bounds)
+StoreSyncOptions storeSyncOptions(const StalenessBounds &bounds)
 {
     StoreSyncOptions options;
     options.connectivityGrace = bounds.connectivityGrace;
     options.minLapseOutage = 2 * bounds.serverHeartbeat;
     options.batchDelay =
         std::min(scaled(bounds.changeInForce, batchDelayShare), bounds.connectivityGrace / 3);
-    if (bounds.proofLasts)
-        options.batchDelay = std::min(options.batchDelay, *bounds.proofLasts / 3);
+    if (bounds.proofLifetime)
+        options.batchDelay = std::min(options.batchDelay, *bounds.proofLifetime / 3);
     // A connection may stall at the beginning of the batching delay: the delay, the watch that
     // times out and the call after it must fit within the connectivity grace. With watches of 5 s,
     // one daemon of 68 got no changes for 8 s after an outage of 2.4 s.
@@ -98,9 +98,9 @@
         bounds.connectivityGrace - options.batchDelay - watchLateness - recoveryTime;
     // A watch that ends proves that the view was current when the watch began. So during a watch,
     // the proof dates from the beginning of the previous one.
-    if (bounds.proofLasts)
+    if (bounds.proofLifetime)
         watchLimit =
-            std::min(watchLimit, (*bounds.proofLasts - options.batchDelay - proofMargin) / 2);
+            std::min(watchLimit, (*bounds.proofLifetime - options.batchDelay - proofMargin) / 2);
     options.watchWait = std::clamp(watchLimit, minWatchWait, maxWatchWait);
     setRelayTimes(options, bounds);
     return options;
@@ -184,7 +184,7 @@
     const Status status = !m_fleet.synced ? listStore(yield)
         : usesRelay                       ? watchRelay(yield)
                                           : watchStore(watchWait(), yield);
-    expireKept();
+    expireRetained();
     if (status.ok())
         return;
     if (m_viewListener != nullptr)
@@ -201,7 +201,7 @@
 {
     while (!m_stopping) {
         sleepFor(m_io, m_options.expiryInterval, yield);
-        expireKept();
+        expireRetained();
     }
 }
 
@@ -212,7 +212,7 @@
     return m_disconnectedAt + m_options.connectivityGrace - graceMargin;
 }
 
-void StoreSync::expireKept()
+void StoreSync::expireRetained()
 {
     if (!m_fleet.storeReachable)
         m_fleet.servers.extendRetention(retainedUntil());
--- a/ramphinge/fleet_control/store_sync.h
+++ b/ramphinge/fleet_control/store_sync.h
@@ -70,19 +70,19 @@
 };
 
 // Operators' limits on the staleness of a daemon's view.
-struct PictureBounds
+struct StalenessBounds
 {
     // Maximum time from the acknowledgment of a change until a connected daemon applies it.
     Duration changeInForce = std::chrono::seconds(2);
     // A daemon counts as connected once its connectivity has been restored for this long.
     Duration connectivityGrace = std::chrono::seconds(3);
     // How long a proof that keys have not been revoked is valid; unlimited if absent.
-    std::optional<Duration> proofLasts;
+    std::optional<Duration> proofLifetime;
     // How often servers renew their entries.
     Duration serverHeartbeat = std::chrono::milliseconds(1200);
 };
 
-StoreSyncOptions storeSyncOptions(const PictureBounds &bounds);
+StoreSyncOptions storeSyncOptions(const StalenessBounds &bounds);
 
 // Lives on the event loop.
 class StoreSync
@@ -110,7 +110,7 @@
     // run(), which may be waiting for the store at that time.
     void runExpiry(Yield yield);
     // One iteration of runExpiry().
-    void expireKept();
+    void expireRetained();
     void stop() { m_stopping = true; }
 
 private:
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -316,7 +316,7 @@
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) != nullptr);
             const int changes = daemon.changes;
             env.clock.advance(lastCallAt + options.connectivityGrace - env.clock.now());
-            daemon.sync.expireKept();
+            daemon.sync.expireRetained();
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) == nullptr);
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("stays")) != nullptr);
             CPPUNIT_ASSERT(daemon.changes > changes);
@@ -329,7 +329,7 @@
         const StoreSyncOptions options;
         const Duration answers = watchLateness + 2 * options.retryDelay;
         CPPUNIT_ASSERT(options.returnGrace > std::chrono::seconds(2));
-        PictureBounds bounds;
+        StalenessBounds bounds;
         bounds.serverHeartbeat = std::chrono::milliseconds(500);
         CPPUNIT_ASSERT(storeSyncOptions(bounds).minLapseOutage == std::chrono::seconds(1));
         CPPUNIT_ASSERT(answers + std::chrono::seconds(2) < options.connectivityGrace);
@@ -357,7 +357,7 @@
     // detected early enough to apply the changes made meanwhile within the bounds.
     void stalledConnectionIsDetectedInTime()
     {
-        std::vector<PictureBounds> allBounds;
+        std::vector<StalenessBounds> allBounds;
         for (const int changeInForceMs : { 1000, 2000, 3000, 5000 }) {
             for (const int graceMs : { 2000, 3000, 4000, 6000 }) {
                 allBounds.push_back(
@@ -366,7 +366,7 @@
                     { Milliseconds(changeInForceMs), Milliseconds(graceMs), Milliseconds(4500) });
             }
         }
-        for (const PictureBounds &bounds : allBounds)
+        for (const StalenessBounds &bounds : allBounds)
             checkStalledConnection(bounds);
     }
 
@@ -444,7 +444,7 @@
             const MonotonicTime backAt = env.clock.now();
             daemon.sync.round(yield);
             env.clock.advance(std::chrono::milliseconds(500));
-            daemon.sync.expireKept();
+            daemon.sync.expireRetained();
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
             store.put(StoreKey("server/lives"), "chat");
             daemon.sync.round(yield);
@@ -458,7 +458,7 @@
     {
         TestEnvironment env;
         env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            PictureBounds bounds;
+            StalenessBounds bounds;
             bounds.connectivityGrace = std::chrono::seconds(4);
             const StoreSyncOptions options = storeSyncOptions(bounds);
             store.put(StoreKey("server/lives"), "chat");
@@ -472,7 +472,7 @@
             store.erase(StoreKey("server/lives"));
             daemon.sync.round(yield);
             env.clock.advance(options.batchDelay / 2);
-            daemon.sync.expireKept();
+            daemon.sync.expireRetained();
             CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("lives")) != nullptr);
         });
     }
@@ -481,7 +481,7 @@
     {
         TestEnvironment env;
         env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
-            PictureBounds bounds;
+            StalenessBounds bounds;
             bounds.connectivityGrace = std::chrono::seconds(6);
             const StoreSyncOptions options = storeSyncOptions(bounds);
             store.put(StoreKey("server/left"), "chat");
@@ -527,7 +527,7 @@
             lastCallAt = env.clock.now();
             daemon.sync.round(yield);
             env.clock.advance(watchLateness + StoreSyncOptions().retryDelay);
-            daemon.sync.expireKept();
+            daemon.sync.expireRetained();
         }
         store.setDown(false);
         return lastCallAt;
@@ -619,13 +619,13 @@
     // the beginning of the previous watch.
     void batchingFitsTheBounds()
     {
-        const Duration proofLasts = std::chrono::milliseconds(4500);
+        const Duration proofLifetime = std::chrono::milliseconds(4500);
         for (const Duration bound : { std::chrono::seconds(1), std::chrono::seconds(2),
                                       std::chrono::seconds(3), std::chrono::seconds(10) }) {
             const StoreSyncOptions options =
-                storeSyncOptions({ bound, std::chrono::seconds(3), proofLasts });
+                storeSyncOptions({ bound, std::chrono::seconds(3), proofLifetime });
             CPPUNIT_ASSERT(options.batchDelay < bound);
-            CPPUNIT_ASSERT(options.batchDelay + 2 * options.watchWait < proofLasts);
+            CPPUNIT_ASSERT(options.batchDelay + 2 * options.watchWait < proofLifetime);
         }
         // Without a proof to renew, a watch must still end in time to detect a stalled connection.
         const StoreSyncOptions options = storeSyncOptions({});
@@ -634,7 +634,7 @@
     }
 
 private:
-    void checkStalledConnection(const PictureBounds &bounds)
+    void checkStalledConnection(const StalenessBounds &bounds)
     {
         TestEnvironment env;
         env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
@@ -658,7 +658,7 @@
     {
         CPPUNIT_ASSERT(env.clock.now() < end);
         env.clock.advance(end - env.clock.now());
-        daemon.sync.expireKept();
+        daemon.sync.expireRetained();
         CPPUNIT_ASSERT(daemon.fleet.servers.find(HostId("left")) == nullptr);
     }
 };
