--- a/ramphinge/dispatch/placing.cpp
+++ b/ramphinge/dispatch/target_draw.cpp
@@ -1,6 +1,6 @@
-// Weighted random choice by free slots: see placing.h.
+// Weighted random choice by free slots: see target_draw.h.
 
-#include "ramphinge/dispatch/placing.h"
+#include "ramphinge/dispatch/target_draw.h"
 
 #include <algorithm>
 
@@ -8,21 +8,22 @@
 
 namespace {
 
-double freeSlots(const PlaceRoom &place)
+double freeSlots(const TargetCapacity &target)
 {
-    return std::max(0.0, place.slots - place.running);
+    return std::max(0.0, target.slots - target.running);
 }
 
 // Weight of a free slot in another zone, relative to one in the local zone.
-double remoteZoneWeight(const std::vector<PlaceRoom> &places, const PlacingOptions &options)
+double remoteZoneWeight(const std::vector<TargetCapacity> &targets,
+                        const TargetDrawOptions &options)
 {
     double slots = 0;
     double available = 0;
-    for (const PlaceRoom &place : places) {
-        if (!place.isLocalZone)
+    for (const TargetCapacity &target : targets) {
+        if (!target.isLocalZone)
             continue;
-        slots += place.slots;
-        available += freeSlots(place);
+        slots += target.slots;
+        available += freeSlots(target);
     }
     if (slots <= 0)
         return 1;
@@ -31,16 +32,16 @@
 
 } // namespace
 
-std::optional<std::size_t> drawPlace(const std::vector<PlaceRoom> &places,
-                                     const PlacingOptions &options, Random &random)
+std::optional<std::size_t> drawTarget(const std::vector<TargetCapacity> &targets,
+                                      const TargetDrawOptions &options, Random &random)
 {
-    const double remoteWeight = remoteZoneWeight(places, options);
+    const double remoteWeight = remoteZoneWeight(targets, options);
     std::vector<double> weights;
     double total = 0;
     bool hasFreeSlot = false;
-    for (const PlaceRoom &place : places) {
-        const double available = freeSlots(place);
-        const double zoneWeight = place.isLocalZone ? 1 : remoteWeight;
+    for (const TargetCapacity &target : targets) {
+        const double available = freeSlots(target);
+        const double zoneWeight = target.isLocalZone ? 1 : remoteWeight;
         hasFreeSlot = hasFreeSlot || (available >= 1 && zoneWeight > 0);
         weights.push_back(std::max(available, options.minFreeSlotsWeight) * zoneWeight);
         total += weights.back();
--- a/ramphinge/dispatch/placing.h
+++ b/ramphinge/dispatch/target_draw.h
@@ -19,14 +19,14 @@
 
 namespace ramphinge {
 
-struct PlaceRoom
+struct TargetCapacity
 {
     double slots = 1; // Requests that the target runs at once.
     double running = 0; // Requests of all daemons, as far as is known.
     bool isLocalZone = false; // Whether it is in the daemon's own zone.
 };
 
-struct PlacingOptions
+struct TargetDrawOptions
 {
     // Targets of other zones are drawn too once a smaller share than this of the local zone's slots
     // is free, with a weight that rises as fewer are free. Traffic between zones costs money and
@@ -37,7 +37,7 @@
 };
 
 // Draws a target and returns its index; nothing if no target has a free slot.
-std::optional<std::size_t> drawPlace(const std::vector<PlaceRoom> &places,
-                                     const PlacingOptions &options, Random &random);
+std::optional<std::size_t> drawTarget(const std::vector<TargetCapacity> &targets,
+                                      const TargetDrawOptions &options, Random &random);
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/placing_test.cpp
+++ b/ramphinge/dispatch/target_draw_test.cpp
@@ -269,9 +269,9 @@
 
 } // namespace
 
-class PlacingTest : public CppUnit::TestFixture
+class TargetDrawTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(PlacingTest);
+    CPPUNIT_TEST_SUITE(TargetDrawTest);
     CPPUNIT_TEST(targetsAreDrawnByTheirFreeSlots);
     CPPUNIT_TEST(otherZonesAreUsedAsTheOwnZoneFillsUp);
     CPPUNIT_TEST(fullTargetsAreNotDrawn);
@@ -284,10 +284,12 @@
     void targetsAreDrawnByTheirFreeSlots()
     {
         Random random(3);
-        const std::vector<PlaceRoom> targets { { 10, 9, true }, { 10, 1, true }, { 10, 12, true } };
+        const std::vector<TargetCapacity> targets { { 10, 9, true },
+                                                    { 10, 1, true },
+                                                    { 10, 12, true } };
         std::vector<int> drawn(3);
         for (int i = 0; i < 1000; ++i)
-            ++drawn[*drawPlace(targets, {}, random)];
+            ++drawn[*drawTarget(targets, {}, random)];
         CPPUNIT_ASSERT(drawn[1] > 850 && drawn[0] > 50 && drawn[2] < 20);
     }
 
@@ -295,10 +297,10 @@
     {
         Random random(3);
         const auto otherZoneShare = [&random](double running) {
-            const std::vector<PlaceRoom> targets { { 10, running, true }, { 10, 5, false } };
+            const std::vector<TargetCapacity> targets { { 10, running, true }, { 10, 5, false } };
             int otherZoneCount = 0;
             for (int i = 0; i < 1000; ++i)
-                otherZoneCount += drawPlace(targets, {}, random) == std::size_t(1) ? 1 : 0;
+                otherZoneCount += drawTarget(targets, {}, random) == std::size_t(1) ? 1 : 0;
             return otherZoneCount / 1000.0;
         };
         CPPUNIT_ASSERT_EQUAL(0.0, otherZoneShare(4));
@@ -309,9 +311,9 @@
     void fullTargetsAreNotDrawn()
     {
         Random random(3);
-        CPPUNIT_ASSERT(!drawPlace({}, {}, random));
-        CPPUNIT_ASSERT(!drawPlace({ { 10, 10, true }, { 10, 13, false } }, {}, random));
-        CPPUNIT_ASSERT(drawPlace({ { 10, 10, true }, { 10, 9, false } }, {}, random));
+        CPPUNIT_ASSERT(!drawTarget({}, {}, random));
+        CPPUNIT_ASSERT(!drawTarget({ { 10, 10, true }, { 10, 13, false } }, {}, random));
+        CPPUNIT_ASSERT(drawTarget({ { 10, 10, true }, { 10, 9, false } }, {}, random));
     }
 
     void sharedLoadsKeepAnswersInTimeWhenAZoneLosesReplicas()
@@ -363,4 +365,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlacingTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TargetDrawTest);
--- a/ramphinge/dispatch/target_table.cpp
+++ b/ramphinge/dispatch/target_table.cpp
@@ -239,7 +239,7 @@
 const Target *TargetTable::chooseByFreeSlots(const TargetQuery &query, MonotonicTime now)
 {
     std::vector<const Target *> candidates;
-    std::vector<PlaceRoom> capacities;
+    std::vector<TargetCapacity> capacities;
     for (const auto &[host, target] : m_targets) {
         if (!isCandidate(target, query, now))
             continue;
@@ -250,8 +250,8 @@
         capacities.push_back({ static_cast<double>(target.slots), runningAt(target, stats, now),
                                target.zone == m_options.ownZone });
     }
-    const auto first = drawPlace(capacities, m_options.placing, m_random);
-    const auto second = drawPlace(capacities, m_options.placing, m_random);
+    const auto first = drawTarget(capacities, m_options.targetDraw, m_random);
+    const auto second = drawTarget(capacities, m_options.targetDraw, m_random);
     if (!first || !second)
         return nullptr;
     const double firstScore = score(*candidates[*first], query.promptTokens, now);
--- a/ramphinge/dispatch/target_table.h
+++ b/ramphinge/dispatch/target_table.h
@@ -17,7 +17,7 @@
 
 #include "ramphinge/base/random.h"
 #include "ramphinge/catalog/service_catalog.h"
-#include "ramphinge/dispatch/placing.h"
+#include "ramphinge/dispatch/target_draw.h"
 #include "ramphinge/dispatch/urgency.h"
 #include "ramphinge/fleet/fleet_view.h"
 #include "ramphinge/fleet/target_load.h"
@@ -70,7 +70,7 @@
     // How long the other daemons' reported load is used: six report intervals of 250 ms, about the
     // duration of a request. After that, the load is extrapolated from the daemon's own requests.
     Duration othersLoadLasts = std::chrono::milliseconds(1500);
-    PlacingOptions placing;
+    TargetDrawOptions targetDraw;
 };
 
 // Not thread-safe: used on the request loop only.
