--- a/ramphinge/dispatch/crash_watch.cpp
+++ b/ramphinge/dispatch/crash_detector.cpp
@@ -1,6 +1,6 @@
-// Detection of servers that terminate while they run a request: see crash_watch.h.
+// Detection of servers that terminate while they run a request: see crash_detector.h.
 
-#include "ramphinge/dispatch/crash_watch.h"
+#include "ramphinge/dispatch/crash_detector.h"
 
 #include <exception>
 #include <map>
@@ -21,7 +21,7 @@
 } // namespace
 
 // The probe of one incarnation of a server.
-struct CrashWatch::LivenessCheck
+struct CrashDetector::LivenessCheck
 {
     LivenessCheck(IoContext &io, MonotonicTime now) : startedAt(now), decided(io) { }
 
@@ -32,18 +32,18 @@
 };
 
 // A request whose connection ended at a server that could not be probed.
-struct CrashWatch::UnresolvedRequest
+struct CrashDetector::UnresolvedRequest
 {
     SuspectRequest request;
     Target target;
     MonotonicTime since;
 };
 
-struct CrashWatch::State
+struct CrashDetector::State
 {
     IoContext &io;
     const Clock &clock;
-    CrashWatchOptions options;
+    CrashDetectorOptions options;
     ServerProbe &probe;
     Quarantine &quarantine;
     DecisionLog &log;
@@ -86,13 +86,13 @@
     }
 };
 
-CrashWatch::CrashWatch(IoContext &io, const Clock &clock, CrashWatchOptions options,
-                       ServerProbe &probe, Quarantine &quarantine, DecisionLog &log,
-                       Metrics &metrics)
+CrashDetector::CrashDetector(IoContext &io, const Clock &clock, CrashDetectorOptions options,
+                             ServerProbe &probe, Quarantine &quarantine, DecisionLog &log,
+                             Metrics &metrics)
     : m_state(new State { io, clock, options, probe, quarantine, log, metrics, {}, {} })
 { }
 
-std::shared_ptr<CrashWatch::LivenessCheck> CrashWatch::startCheck(const Target &target)
+std::shared_ptr<CrashDetector::LivenessCheck> CrashDetector::startCheck(const Target &target)
 {
     if (m_state->livenessChecks.size() >= maxChecks)
         eraseIf(m_state->livenessChecks,
@@ -113,8 +113,8 @@
     return check;
 }
 
-void CrashWatch::connectionEnded(const SuspectRequest &request, const Target &target,
-                                 MonotonicTime sentAt, Duration maxWait, Yield yield)
+void CrashDetector::connectionEnded(const SuspectRequest &request, const Target &target,
+                                    MonotonicTime sentAt, Duration maxWait, Yield yield)
 {
     const auto found = m_state->livenessChecks.find(target.host);
     const std::shared_ptr<LivenessCheck> check =
@@ -129,7 +129,7 @@
     check->decided.wait(maxWait, yield);
 }
 
-void CrashWatch::serversChanged(const std::function<bool(const HostId &)> &isPresent)
+void CrashDetector::serversChanged(const std::function<bool(const HostId &)> &isPresent)
 {
     std::vector<UnresolvedRequest> unresolved = std::exchange(m_state->unresolved, {});
     for (UnresolvedRequest &pending : unresolved) {
--- a/ramphinge/dispatch/crash_watch.h
+++ b/ramphinge/dispatch/crash_detector.h
@@ -26,7 +26,7 @@
 
 namespace ramphinge {
 
-struct CrashWatchOptions
+struct CrashDetectorOptions
 {
     // Of one probe. A live server responds within a few milliseconds, which a busy daemon processes
     // up to 300 ms later; a terminated one refuses the connection at once.
@@ -39,11 +39,11 @@
 
 // Not thread-safe: used on the event loop only. Its coroutines refer to the constructor's
 // arguments, not to the object, which may be destroyed while they run.
-class CrashWatch
+class CrashDetector
 {
 public:
-    CrashWatch(IoContext &io, const Clock &clock, CrashWatchOptions options, ServerProbe &probe,
-               Quarantine &quarantine, DecisionLog &log, Metrics &metrics);
+    CrashDetector(IoContext &io, const Clock &clock, CrashDetectorOptions options,
+                  ServerProbe &probe, Quarantine &quarantine, DecisionLog &log, Metrics &metrics);
 
     // Reports that the connection to the server ended before the response to the request, which was
     // sent at `sentAt`, was complete. Returns once the probe has finished and the quarantine has
--- a/ramphinge/dispatch/dispatcher.cpp
+++ b/ramphinge/dispatch/dispatcher.cpp
@@ -63,7 +63,7 @@
                        Metrics &metrics)
     : m_impl(new Impl {
         { io, clock, options, codec, upstreams, state, log, metrics, Random(entropySeed()),
-          CrashWatch(io, clock, options.crashWatch, probe, state.quarantine, log, metrics),
+          CrashDetector(io, clock, options.crashDetector, probe, state.quarantine, log, metrics),
           trials } })
 { }
 
@@ -95,7 +95,7 @@
 
 void Dispatcher::serversChanged(const FleetView &fleet)
 {
-    m_impl->context.crashes.serversChanged(
+    m_impl->context.crashDetector.serversChanged(
         [&fleet](const HostId &host) { return fleet.find(host) != nullptr; });
 }
 
--- a/ramphinge/dispatch/dispatcher.h
+++ b/ramphinge/dispatch/dispatcher.h
@@ -11,7 +11,7 @@
 #include <memory>
 
 #include "ramphinge/dispatch/admission.h"
-#include "ramphinge/dispatch/crash_watch.h"
+#include "ramphinge/dispatch/crash_detector.h"
 #include "ramphinge/dispatch/requests.h"
 #include "ramphinge/dispatch/stall_policy.h"
 #include "ramphinge/dispatch/trial_granter.h"
@@ -46,7 +46,7 @@
     // The same for a quarantined request. It stays quarantined until an operator releases it, or a
     // complete response of a server proves it harmless.
     Duration retryAfterQuarantine = std::chrono::minutes(1);
-    CrashWatchOptions crashWatch;
+    CrashDetectorOptions crashDetector;
     std::size_t maxWholeAnswerBytes = 16 * 1024 * 1024;
 };
 
--- a/ramphinge/dispatch/internal/proxied_request.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -319,8 +319,8 @@
 void ProxiedRequest::awaitCrashVerdict(const Target &target, MonotonicTime sentAt, Yield yield)
 {
     const Duration maxWait =
-        std::clamp(timeLeft(), minTimeout, m_context.options.crashWatch.timeout);
-    m_context.crashes.connectionEnded(suspectRequest(), target, sentAt, maxWait, yield);
+        std::clamp(timeLeft(), minTimeout, m_context.options.crashDetector.timeout);
+    m_context.crashDetector.connectionEnded(suspectRequest(), target, sentAt, maxWait, yield);
 }
 
 void ProxiedRequest::noteAnswered()
--- a/ramphinge/dispatch/internal/proxied_request.h
+++ b/ramphinge/dispatch/internal/proxied_request.h
@@ -25,7 +25,7 @@
     DecisionLog &log;
     Metrics &metrics;
     Random random;
-    CrashWatch crashes;
+    CrashDetector crashDetector;
     TrialGranter &trials;
 };
 
