--- a/ramphinge/dispatch/dispatch_test.cpp
+++ b/ramphinge/dispatch/dispatch_test.cpp
@@ -440,7 +440,7 @@
         TargetTable &targets = harness.state.targets;
         const HostId small("c1");
         const HostId large("c2");
-        CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(450)); // The default.
+        CPPUNIT_ASSERT(targets.stallTimeoutOf(small) == Milliseconds(450)); // The default.
         for (const HostId &host : { small, large }) {
             targets.sent(host, Tokens(1));
             targets.began(host, Tokens(1), Milliseconds(50), Milliseconds(50), harness.clock.now());
@@ -452,8 +452,8 @@
             if (at % 290 <= 2)
                 targets.progressed(large, harness.clock.now());
         }
-        CPPUNIT_ASSERT(targets.standstillOf(small) == Milliseconds(200));
-        CPPUNIT_ASSERT(targets.standstillOf(large) == Milliseconds(450));
+        CPPUNIT_ASSERT(targets.stallTimeoutOf(small) == Milliseconds(200));
+        CPPUNIT_ASSERT(targets.stallTimeoutOf(large) == Milliseconds(450));
         harness.clock.advance(Milliseconds(250));
         CPPUNIT_ASSERT(targets.choose({ chat, model, Tokens(1), {} }, harness.clock.now())->host
                        == large);
@@ -586,34 +586,34 @@
         stream.expected = std::chrono::milliseconds(100);
         stream.objective = std::chrono::milliseconds(300);
         stream.eventGapObjective = std::chrono::milliseconds(200);
-        stream.standstill = std::chrono::milliseconds(450);
+        stream.targetStallTimeout = std::chrono::milliseconds(450);
         // Not begun: other streams of the replica show whether it makes progress.
-        stream.othersUnderWay = true;
+        stream.hasOtherStreams = true;
         stream.waited = std::chrono::seconds(3);
-        stream.quiet = std::chrono::milliseconds(80);
-        CPPUNIT_ASSERT(!standsStill(stream, options));
-        stream.quiet = std::chrono::milliseconds(500);
-        CPPUNIT_ASSERT(standsStill(stream, options));
+        stream.targetSilence = std::chrono::milliseconds(80);
+        CPPUNIT_ASSERT(!isStalled(stream, options));
+        stream.targetSilence = std::chrono::milliseconds(500);
+        CPPUNIT_ASSERT(isStalled(stream, options));
         // No other streams: the prediction and the objective decide.
-        stream.othersUnderWay = false;
+        stream.hasOtherStreams = false;
         stream.waited = std::chrono::milliseconds(299);
-        CPPUNIT_ASSERT(!standsStill(stream, options));
+        CPPUNIT_ASSERT(!isStalled(stream, options));
         stream.waited = std::chrono::milliseconds(301);
-        CPPUNIT_ASSERT(standsStill(stream, options));
+        CPPUNIT_ASSERT(isStalled(stream, options));
         stream.expected = std::chrono::milliseconds(400);
-        CPPUNIT_ASSERT(!standsStill(stream, options));
+        CPPUNIT_ASSERT(!isStalled(stream, options));
         // Begun: its own event gap decides; a longer one is allowed if other streams make progress.
         stream.begun = true;
         // A short gap is no stall: the stream might find no other target.
         stream.waited = std::chrono::milliseconds(599);
-        CPPUNIT_ASSERT(!standsStill(stream, options));
+        CPPUNIT_ASSERT(!isStalled(stream, options));
         stream.waited = std::chrono::milliseconds(601);
-        CPPUNIT_ASSERT(standsStill(stream, options));
-        stream.othersUnderWay = true;
-        stream.quiet = std::chrono::milliseconds(50);
-        CPPUNIT_ASSERT(!standsStill(stream, options));
+        CPPUNIT_ASSERT(isStalled(stream, options));
+        stream.hasOtherStreams = true;
+        stream.targetSilence = std::chrono::milliseconds(50);
+        CPPUNIT_ASSERT(!isStalled(stream, options));
         stream.waited = std::chrono::milliseconds(1700);
-        CPPUNIT_ASSERT(standsStill(stream, options));
+        CPPUNIT_ASSERT(isStalled(stream, options));
     }
 
     // Data from the upstream waits while the caller doesn't read; that must not count as a stall of
@@ -801,7 +801,7 @@
             harness.clock.advance(Milliseconds(40));
             targets.progressed(head, harness.clock.now());
         }
-        CPPUNIT_ASSERT(targets.standstillOf(head) == Milliseconds(200));
+        CPPUNIT_ASSERT(targets.stallTimeoutOf(head) == Milliseconds(200));
         targets.ended(head, Tokens(1), true);
         for (int i = 0; i < 5; ++i) {
             targets.sent(head, Tokens(1));
@@ -822,7 +822,7 @@
         harness.plan.replicas[0].replica = ReplicaId("next");
         harness.plan.replicas[0].epoch = Epoch(9);
         harness.rebuild();
-        CPPUNIT_ASSERT(targets.standstillOf(head) == Milliseconds(450));
+        CPPUNIT_ASSERT(targets.stallTimeoutOf(head) == Milliseconds(450));
         CPPUNIT_ASSERT(expected(head) == expected(HostId("c2")));
         CPPUNIT_ASSERT(
             targets.choose({ chat, model, Tokens(1), { HostId("c2") } }, harness.clock.now())->host
--- a/ramphinge/dispatch/dispatcher.h
+++ b/ramphinge/dispatch/dispatcher.h
@@ -35,7 +35,7 @@
     double headTimeoutShare = 0.4;
     StallOptions stall;
     // Interval between two checks whether a stream has stalled.
-    Duration stallLook = std::chrono::milliseconds(60);
+    Duration stallCheckInterval = std::chrono::milliseconds(60);
     UrgencyOptions urgency;
     // After this many responses with the promise that the request was not executed, it is refused.
     int maxNotExecutedResponses = 3;
--- a/ramphinge/dispatch/internal/dispatch_fixture.h
+++ b/ramphinge/dispatch/internal/dispatch_fixture.h
@@ -290,7 +290,7 @@
     void checkForStallsContinuously()
     {
         constexpr Duration checkInterval = std::chrono::nanoseconds(1);
-        dispatchOptions.stallLook = checkInterval;
+        dispatchOptions.stallCheckInterval = checkInterval;
         dispatchOptions.retryAfter = checkInterval; // Until the next attempt after a refusal.
     }
 
--- a/ramphinge/dispatch/internal/streamed_request.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -206,7 +206,7 @@
 void StreamedRequest::watchCurrent(const std::shared_ptr<UpstreamStream> &upstream)
 {
     spawnCoroutine(m_context.io, [this, upstream, &context = m_context](Yield yield) {
-        Duration checkInterval = context.options.stallLook;
+        Duration checkInterval = context.options.stallCheckInterval;
         while (true) {
             const MonotonicTime expectedAt = context.clock.now() + checkInterval;
             sleepFor(context.io, checkInterval, yield);
@@ -218,7 +218,7 @@
                 m_call->cancel();
                 return;
             }
-            checkInterval = context.options.stallLook;
+            checkInterval = context.options.stallCheckInterval;
             if (!shouldFailOver(*upstream))
                 continue;
             const bool tookOver = tryCandidate(upstream, yield);
@@ -242,7 +242,7 @@
     if (upstream.writingToCaller)
         return false;
     const StreamObservation stream = observeStream(upstream);
-    if (!standsStill(stream, m_context.options.stall))
+    if (!isStalled(stream, m_context.options.stall))
         return false;
     m_context.state.suspicions.note(upstream.target.replica, now());
     if (!prepayRetry(upstream))
@@ -298,7 +298,7 @@
                                      const std::shared_ptr<UpstreamStream> &current)
 {
     spawnCoroutine(m_context.io, [this, candidate, current, &context = m_context](Yield yield) {
-        const Duration checkInterval = context.options.stallLook;
+        const Duration checkInterval = context.options.stallCheckInterval;
         while (true) {
             const MonotonicTime expectedAt = context.clock.now() + checkInterval;
             sleepFor(context.io, checkInterval, yield);
@@ -310,7 +310,7 @@
                 candidate->call->cancel();
                 return;
             }
-            if (!standsStill(observeStream(*candidate), context.options.stall))
+            if (!isStalled(observeStream(*candidate), context.options.stall))
                 continue;
             context.state.suspicions.note(candidate->target.replica, now());
             if (!mayFailOver(mayHaveRunCountWith(*current) + 1))
@@ -374,16 +374,16 @@
 {
     const TargetTable &targets = m_context.state.targets;
     const HostId &host = upstream.target.host;
-    const int others = targets.streamsUnderWay(host) - (upstream.begun ? 1 : 0);
+    const int others = targets.activeStreams(host) - (upstream.begun ? 1 : 0);
     StreamObservation stream;
     stream.begun = upstream.begun;
     stream.waited = now() - upstream.lastActivityAt;
     stream.expected = upstream.expected;
     stream.objective = m_admitted.route->objective;
     stream.eventGapObjective = m_admitted.route->eventGapObjective;
-    stream.othersUnderWay = others > 0;
-    stream.standstill = targets.standstillOf(host);
-    stream.quiet = now() - std::max(targets.lastProgress(host), upstream.sentAt);
+    stream.hasOtherStreams = others > 0;
+    stream.targetStallTimeout = targets.stallTimeoutOf(host);
+    stream.targetSilence = now() - std::max(targets.lastProgress(host), upstream.sentAt);
     return stream;
 }
 
@@ -399,9 +399,9 @@
                           { "begun", stream.begun },
                           { "last_event", m_lastEvent.text() },
                           { "waited_ms", toMilliseconds(stream.waited) },
-                          { "quiet_ms", toMilliseconds(stream.quiet) },
-                          { "standstill_ms", toMilliseconds(stream.standstill) },
-                          { "others_under_way", stream.othersUnderWay },
+                          { "quiet_ms", toMilliseconds(stream.targetSilence) },
+                          { "standstill_ms", toMilliseconds(stream.targetStallTimeout) },
+                          { "others_under_way", stream.hasOtherStreams },
                           { "left_ms", toMilliseconds(timeLeft()) } });
 }
 
--- a/ramphinge/dispatch/stall_policy.cpp
+++ b/ramphinge/dispatch/stall_policy.cpp
@@ -6,16 +6,18 @@
 
 namespace ramphinge {
 
-bool standsStill(const StreamObservation &stream, const StallOptions &options)
+bool isStalled(const StreamObservation &stream, const StallOptions &options)
 {
-    const bool othersProgress = stream.othersUnderWay && stream.quiet <= stream.standstill;
+    const bool othersProgress =
+        stream.hasOtherStreams && stream.targetSilence <= stream.targetStallTimeout;
     if (!stream.begun) {
-        if (stream.othersUnderWay)
-            return !othersProgress && stream.waited > stream.standstill;
+        if (stream.hasOtherStreams)
+            return !othersProgress && stream.waited > stream.targetStallTimeout;
         return stream.waited > std::max(scaled(stream.expected, options.expectedFactor),
                                         scaled(stream.objective, options.objectiveFactor));
     }
-    const double factor = othersProgress ? options.pauseFactorIfOthersMove : options.pauseFactor;
+    const double factor =
+        othersProgress ? options.pauseFactorIfOthersProgress : options.pauseFactor;
     return stream.waited > scaled(stream.eventGapObjective, factor);
 }
 
--- a/ramphinge/dispatch/stall_policy.h
+++ b/ramphinge/dispatch/stall_policy.h
@@ -22,7 +22,7 @@
     double pauseFactor = 3;
     // The same while other streams at the replica progress: this one may just be scheduled behind
     // them.
-    double pauseFactorIfOthersMove = 8;
+    double pauseFactorIfOthersProgress = 8;
 };
 
 // Snapshot of one stream.
@@ -33,11 +33,11 @@
     Duration expected {}; // Until the first event, as predicted when it was sent.
     Duration objective {}; // For the first event.
     Duration eventGapObjective {}; // Between two events.
-    bool othersUnderWay = false; // Other streams of this daemon have begun at the replica.
-    Duration quiet {}; // Since anything arrived from the replica.
-    Duration standstill {}; // The replica counts as stalled once `quiet` is longer.
+    bool hasOtherStreams = false; // Other streams of this daemon have begun at the replica.
+    Duration targetSilence {}; // Since anything arrived from the replica.
+    Duration targetStallTimeout {}; // The replica counts as stalled once `targetSilence` is longer.
 };
 
-bool standsStill(const StreamObservation &stream, const StallOptions &options);
+bool isStalled(const StreamObservation &stream, const StallOptions &options);
 
 } // namespace ramphinge
--- a/ramphinge/dispatch/stream_run_test.cpp
+++ b/ramphinge/dispatch/stream_run_test.cpp
@@ -759,7 +759,7 @@
     {
         CPPUNIT_ASSERT_EQUAL(0, remains.inFlight);
         CPPUNIT_ASSERT_EQUAL(0, remains.coroutines);
-        CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.streamsUnderWay(HostId("c1")));
+        CPPUNIT_ASSERT_EQUAL(0, harness.state.targets.activeStreams(HostId("c1")));
         CPPUNIT_ASSERT(!remains.leftByException);
     }
 
--- a/ramphinge/dispatch/target_table.cpp
+++ b/ramphinge/dispatch/target_table.cpp
@@ -244,7 +244,7 @@
         if (!isCandidate(target, query, now))
             continue;
         const TargetStats &stats = m_stats[host];
-        if (stats.avoidUntil > now || standsStill(stats, now))
+        if (stats.avoidUntil > now || isStalled(stats, now))
             continue;
         candidates.push_back(&target);
         capacities.push_back({ static_cast<double>(target.slots), runningAt(target, stats, now),
@@ -274,7 +274,7 @@
             continue;
         const TargetStats &stats = m_stats[host];
         const MonotonicTime avoidUntil = std::max(stats.avoidUntil, now);
-        const bool isAvoided = avoidUntil > now || standsStill(stats, now);
+        const bool isAvoided = avoidUntil > now || isStalled(stats, now);
         const double own =
             score(target, query.promptTokens, now) * (1 + scoreJitter * m_random.fraction());
         const auto rank = std::make_tuple(isAvoided, avoidUntil, own);
@@ -299,12 +299,12 @@
         std::chrono::duration<double, std::milli>(milliseconds));
 }
 
-bool TargetTable::standsStill(const TargetStats &stats, MonotonicTime now) const
+bool TargetTable::isStalled(const TargetStats &stats, MonotonicTime now) const
 {
-    return stats.begun > 0 && now - stats.progressAt > standstillOf(stats);
+    return stats.begun > 0 && now - stats.progressAt > stallTimeoutOf(stats);
 }
 
-Duration TargetTable::standstillOf(const TargetStats &stats) const
+Duration TargetTable::stallTimeoutOf(const TargetStats &stats) const
 {
     if (stats.passIntervalMilliseconds <= 0)
         return m_options.maxStallTimeout;
@@ -314,10 +314,10 @@
     return std::clamp(usual, m_options.minStallTimeout, m_options.maxStallTimeout);
 }
 
-Duration TargetTable::standstillOf(const HostId &host) const
+Duration TargetTable::stallTimeoutOf(const HostId &host) const
 {
     const auto found = m_stats.find(host);
-    return standstillOf(found == m_stats.end() ? TargetStats() : found->second);
+    return stallTimeoutOf(found == m_stats.end() ? TargetStats() : found->second);
 }
 
 void TargetTable::sent(const HostId &host, Tokens prompt, Urgency urgency)
@@ -460,7 +460,7 @@
     return found == m_stats.end() ? 0 : found->second.inFlight;
 }
 
-int TargetTable::streamsUnderWay(const HostId &host) const
+int TargetTable::activeStreams(const HostId &host) const
 {
     const auto found = m_stats.find(host);
     return found == m_stats.end() ? 0 : found->second.begun;
--- a/ramphinge/dispatch/target_table.h
+++ b/ramphinge/dispatch/target_table.h
@@ -116,7 +116,7 @@
     // Data arrived from the target.
     void progressed(const HostId &host, MonotonicTime now);
     // The target counts as stalled if nothing arrives from it for this long.
-    Duration standstillOf(const HostId &host) const;
+    Duration stallTimeoutOf(const HostId &host) const;
     // When data last arrived; the epoch of the clock if never.
     MonotonicTime lastProgress(const HostId &host) const;
 
@@ -133,7 +133,7 @@
     std::size_t size() const { return m_targets.size(); }
     int inFlight(const HostId &host) const;
     // This daemon's requests there that have begun and not ended.
-    int streamsUnderWay(const HostId &host) const;
+    int activeStreams(const HostId &host) const;
 
     // Endpoints of servers that have left the fleet since the last call.
     std::vector<Endpoint> takeDropped();
@@ -171,8 +171,8 @@
                                  MonotonicTime now) const;
     double score(const Target &target, Tokens prompt, MonotonicTime now) const;
     double decayed(double value, const TargetStats &stats, MonotonicTime now) const;
-    Duration standstillOf(const TargetStats &stats) const;
-    bool standsStill(const TargetStats &stats, MonotonicTime now) const;
+    Duration stallTimeoutOf(const TargetStats &stats) const;
+    bool isStalled(const TargetStats &stats, MonotonicTime now) const;
     static void adjustWaiting(TargetStats &stats, Tokens prompt, Urgency urgency, int change);
     void updateAverages(TargetStats &stats, double slowness, double success, MonotonicTime now);
 
