--- a/ramphinge/dispatch/dispatcher.cpp
+++ b/ramphinge/dispatch/dispatcher.cpp
@@ -83,7 +83,7 @@
         const std::optional<Duration> retryAfter = carriesRetryAfter(*reason)
             ? std::optional<Duration>(context.options.retryAfter)
             : std::nullopt;
-        static_cast<void>(exchange.respond(refusalAnswer(*reason, retryAfter), yield));
+        static_cast<void>(exchange.respond(refusalResponse(*reason, retryAfter), yield));
         return;
     }
     auto &admitted = std::get<AdmittedRequest>(admission);
--- a/ramphinge/dispatch/dispatcher.h
+++ b/ramphinge/dispatch/dispatcher.h
@@ -47,7 +47,7 @@
     // complete response of a server proves it harmless.
     Duration retryAfterQuarantine = std::chrono::minutes(1);
     CrashDetectorOptions crashDetector;
-    std::size_t maxWholeAnswerBytes = 16 * 1024 * 1024;
+    std::size_t maxBufferedResponseBytes = 16 * 1024 * 1024;
 };
 
 // Not thread-safe: used on the event loop only.
--- a/ramphinge/dispatch/internal/buffered_request.cpp
+++ b/ramphinge/dispatch/internal/buffered_request.cpp
@@ -58,7 +58,8 @@
             awaitCrashVerdict(target, sentAt, yield);
         return attemptEndFor(started);
     }
-    const AnswerHead head = m_context.codec.decodeAnswer(m_call->status(), m_call->headers());
+    const ResponseHead head =
+        m_context.codec.decodeResponseHead(m_call->status(), m_call->headers());
     Result<std::string> body = readBody(yield);
     if (head.notExecuted)
         return handleNotExecuted(target, head);
--- a/ramphinge/dispatch/internal/dispatch_fixture.h
+++ b/ramphinge/dispatch/internal/dispatch_fixture.h
@@ -57,11 +57,11 @@
         return message;
     }
 
-    AnswerHead decodeAnswer(int status, const HttpHeaders &headers) const override
+    ResponseHead decodeResponseHead(int status, const HttpHeaders &headers) const override
     {
         if (onDecodeAnswer)
             onDecodeAnswer();
-        AnswerHead head;
+        ResponseHead head;
         head.status = status;
         head.notExecuted = headers.find("not-run").has_value();
         head.authentic = headers.find("seal").has_value();
--- a/ramphinge/dispatch/internal/proxied_request.cpp
+++ b/ramphinge/dispatch/internal/proxied_request.cpp
@@ -272,7 +272,7 @@
     logEnd("refused", LogWeight::Failure, std::move(fields));
     countOutcome(toString(reason));
     // The HTTP server notes a caller that has disconnected.
-    static_cast<void>(m_exchange.respond(refusalAnswer(reason, retryAfter(reason)), yield));
+    static_cast<void>(m_exchange.respond(refusalResponse(reason, retryAfter(reason)), yield));
 }
 
 std::unique_ptr<UpstreamCall> ProxiedRequest::makeCall(const Target &target,
@@ -354,7 +354,7 @@
     m_context.state.suspicions.note(target.replica, now());
 }
 
-AttemptEnd ProxiedRequest::handleNotExecuted(const Target &target, const AnswerHead &head)
+AttemptEnd ProxiedRequest::handleNotExecuted(const Target &target, const ResponseHead &head)
 {
     TargetTable &targets = m_context.state.targets;
     targets.failed(target.host, now());
@@ -379,14 +379,14 @@
             return got.error();
         if (got.value() == 0)
             return body;
-        if (body.size() > m_context.options.maxWholeAnswerBytes) {
+        if (body.size() > m_context.options.maxBufferedResponseBytes) {
             m_call->cancel();
             return Error(ErrorKind::Unknown, "response body exceeds the size limit");
         }
     }
 }
 
-Status ProxiedRequest::sendResponse(const AnswerHead &head, std::string body, Yield yield)
+Status ProxiedRequest::sendResponse(const ResponseHead &head, std::string body, Yield yield)
 {
     return m_exchange.respond({ head.status, head.headers, std::move(body) }, yield);
 }
--- a/ramphinge/dispatch/internal/proxied_request.h
+++ b/ramphinge/dispatch/internal/proxied_request.h
@@ -128,12 +128,12 @@
     void logWithheld(const Target &target) const;
     // Handles a response with the guarantee that the request was not executed; counts as a failure
     // of the target.
-    AttemptEnd handleNotExecuted(const Target &target, const AnswerHead &head);
+    AttemptEnd handleNotExecuted(const Target &target, const ResponseHead &head);
     // Avoids the target for a while, and reports its replica as suspected to the planner.
     void avoid(const Target &target);
     // Reads the whole response body. Errors: Unknown.
     Result<std::string> readBody(Yield yield);
-    Status sendResponse(const AnswerHead &head, std::string body, Yield yield);
+    Status sendResponse(const ResponseHead &head, std::string body, Yield yield);
 
     // Identifies the request's content; the same for every attempt. Computed on first use, since it
     // hashes the body.
--- a/ramphinge/dispatch/internal/streamed_request.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -23,7 +23,7 @@
 
 // Whether the response is an unmodified stream of the upstream that can be forwarded event by
 // event.
-bool isStreamable(const AnswerHead &head)
+bool isStreamable(const ResponseHead &head)
 {
     return !head.notExecuted && head.status == statusOk && head.authentic && !head.decoded;
 }
@@ -37,7 +37,7 @@
     Target target;
     Urgency urgency = Urgency::InTime;
     std::unique_ptr<UpstreamCall> call; // Moved to m_call when this becomes the current stream.
-    AnswerHead head;
+    ResponseHead head;
     EventStreamReader reader;
     MonotonicTime sentAt;
     Duration expected {}; // Time to the first event, as predicted when the request was sent.
@@ -179,7 +179,7 @@
 
 void StreamedRequest::decodeHead(UpstreamStream &upstream, const HttpCall &call) const
 {
-    upstream.head = m_context.codec.decodeAnswer(call.status(), call.headers());
+    upstream.head = m_context.codec.decodeResponseHead(call.status(), call.headers());
 }
 
 void StreamedRequest::recordNoResponse(const UpstreamStream &upstream, const UpstreamCall &call,
--- a/ramphinge/dispatch/requests.cpp
+++ b/ramphinge/dispatch/requests.cpp
@@ -72,7 +72,7 @@
     return textOf(reason).name;
 }
 
-HttpResponse refusalAnswer(RefusalReason reason, std::optional<Duration> retryAfter)
+HttpResponse refusalResponse(RefusalReason reason, std::optional<Duration> retryAfter)
 {
     const RefusalText text = textOf(reason);
     const nlohmann::json body { { "error",
--- a/ramphinge/dispatch/requests.h
+++ b/ramphinge/dispatch/requests.h
@@ -41,7 +41,7 @@
 };
 
 // Status and headers of an upstream's response.
-struct AnswerHead
+struct ResponseHead
 {
     int status = 0;
     bool notExecuted = false; // The server guarantees that it has not executed the request.
@@ -73,7 +73,7 @@
 
 // The error response for `reason`. `retryAfter` is only for reasons which guarantee that the
 // request was not executed.
-HttpResponse refusalAnswer(RefusalReason reason, std::optional<Duration> retryAfter);
+HttpResponse refusalResponse(RefusalReason reason, std::optional<Duration> retryAfter);
 
 // Translates between the wire format and the types above. Implementations make no decisions.
 class RequestCodec
@@ -84,7 +84,7 @@
     // Errors: InvalidInput.
     virtual Result<IncomingRequest> decode(const HttpRequest &message) const = 0;
     virtual HttpRequest encode(const OutgoingRequest &request) const = 0;
-    virtual AnswerHead decodeAnswer(int status, const HttpHeaders &headers) const = 0;
+    virtual ResponseHead decodeResponseHead(int status, const HttpHeaders &headers) const = 0;
 
     // Whether a response with these headers belongs to the request; true if they name none.
     virtual bool answers(const HttpHeaders &headers, const RequestId &request) const = 0;
