--- a/ramphinge/dispatch/admission.cpp
+++ b/ramphinge/dispatch/admission.cpp
@@ -50,8 +50,8 @@
             return RefusalReason::UnknownKey;
     }
     admitted.service = pickService(*admitted.route, request.request);
-    const Duration patience = request.patience.value_or(admitted.route->timeout);
-    admitted.deadline = now + std::min(patience, admitted.route->timeout);
+    const Duration callerTimeout = request.callerTimeout.value_or(admitted.route->timeout);
+    admitted.deadline = now + std::min(callerTimeout, admitted.route->timeout);
     return admitted;
 }
 
--- a/ramphinge/dispatch/dispatch_state.h
+++ b/ramphinge/dispatch/dispatch_state.h
@@ -21,8 +21,9 @@
 
 struct DispatchState
 {
-    DispatchState(CatalogFreshness proof, TargetTable table, SharedRetryBudgetOptions budget)
-        : freshness(proof), targets(std::move(table)), budgetOptions(budget)
+    DispatchState(CatalogFreshness initialFreshness, TargetTable table,
+                  SharedRetryBudgetOptions budget)
+        : freshness(initialFreshness), targets(std::move(table)), budgetOptions(budget)
     { }
 
     CatalogPointer
--- a/ramphinge/dispatch/internal/dispatch_fixture.h
+++ b/ramphinge/dispatch/internal/dispatch_fixture.h
@@ -186,7 +186,7 @@
     ProbeVerdict probe(const ServerAddress &server, Duration, Yield) override
     {
         if (canProbe)
-            return m_client.expectsCall(server.endpoint) ? ProbeVerdict::Lives
+            return m_client.expectsCall(server.endpoint) ? ProbeVerdict::Alive
                                                          : ProbeVerdict::Ended;
         return ProbeVerdict::Unknown;
     }
--- a/ramphinge/dispatch/requests.h
+++ b/ramphinge/dispatch/requests.h
@@ -24,7 +24,7 @@
     ModelId model; // Empty for plain services.
     Tokens promptTokens;
     Tokens maxAnswerTokens;
-    std::optional<Duration> patience; // The caller's timeout, from its sending.
+    std::optional<Duration> callerTimeout; // From its sending.
     EventId resumeAfter; // The last event that the caller has received; empty for none.
     HttpRequest message; // As received.
 };
--- a/ramphinge/dispatch/server_probe.h
+++ b/ramphinge/dispatch/server_probe.h
@@ -9,7 +9,7 @@
 namespace ramphinge {
 
 enum class ProbeVerdict {
-    Lives, // It responded.
+    Alive, // It responded.
     Ended, // Nothing listens at its address, or another server or a later incarnation does.
     // The connection failed, or broke before a response: the server may be unreachable, or reset
     // new connections.
