--- a/daemon/fleet_daemon.cpp
+++ b/daemon/fleet_daemon.cpp
@@ -248,7 +248,7 @@
     {
         const MonotonicTime now = m_clock.now();
         m_dispatch.targets.setOthersLoad(others.targetLoads, now);
-        m_dispatch.demand.setOthers(others.work, now);
+        m_dispatch.demand.setOthersWork(others.work, now);
     }
 
     void applyServerUpdate(const ServerUpdate &update)
@@ -311,7 +311,7 @@
         m_dispatch.targets.rebuild(m_fleet.servers, m_fleet.plan, *m_dispatch.catalog);
         m_dispatch.targets.setSharers(countInZone(daemons, m_settings.zone));
         m_dispatch.noteDaemons(static_cast<int>(daemons.size()));
-        for (const Endpoint &endpoint : m_dispatch.targets.takeDropped())
+        for (const Endpoint &endpoint : m_dispatch.targets.takeRemovedEndpoints())
             m_client->forget(endpoint);
         applyCallerLimits(m_dispatch.catalog->limits());
     }
--- a/ramphinge/dispatch/demand_meter.cpp
+++ b/ramphinge/dispatch/demand_meter.cpp
@@ -60,7 +60,7 @@
     return work;
 }
 
-void DemandMeter::setOthers(const WorkByModel &work, MonotonicTime now)
+void DemandMeter::setOthersWork(const WorkByModel &work, MonotonicTime now)
 {
     m_othersWork.clear();
     for (const auto &[model, observed] : work)
--- a/ramphinge/dispatch/demand_meter.h
+++ b/ramphinge/dispatch/demand_meter.h
@@ -31,7 +31,7 @@
     WorkByModel own(MonotonicTime now) const;
 
     // Sets the sum of the load that the other daemons saw, as of `now`; replaces the previous sum.
-    void setOthers(const WorkByModel &work, MonotonicTime now);
+    void setOthersWork(const WorkByModel &work, MonotonicTime now);
 
     // The model's share of the load of `engine`'s models: a weighted mean of the configured and the
     // observed share. The more requests were observed, the more the observed share counts.
--- a/ramphinge/dispatch/dispatch_test.cpp
+++ b/ramphinge/dispatch/dispatch_test.cpp
@@ -409,7 +409,7 @@
                     ids.push_back(next->id.text());
             }
             RC_ASSERT(ids == (std::vector<std::string> { "1", "2", "3", "4", "5" }));
-            RC_ASSERT(reader.rest() == 0U);
+            RC_ASSERT(reader.incompleteBytes() == 0U);
         });
         CPPUNIT_ASSERT(passed);
     }
@@ -525,14 +525,14 @@
             for (int i = 0; i < seconds; ++i) {
                 clock.advance(std::chrono::seconds(1));
                 addRequests(largePerSecond, smallPerSecond, othersMeter);
-                planner.setOthers(othersMeter.own(clock.now()), clock.now());
+                planner.setOthersWork(othersMeter.own(clock.now()), clock.now());
             }
             return planner.shareOf(engine, large, clock.now());
         };
         // Shares of all server time: 40 requests to 16 servers each against 420 to 4 each.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.276, shareAfter(20, 40, 420), 0.02);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.656, shareAfter(16, 100, 210), 0.09);
-        planner.setOthers({}, clock.now()); // The other daemons' reports have expired.
+        planner.setOthersWork({}, clock.now()); // The other daemons' reports have expired.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, planner.shareOf(engine, large, clock.now()), 1e-9);
     }
 
@@ -567,7 +567,7 @@
         DemandMeter meterOfOneDaemon(std::chrono::seconds(6));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(serversBusyAt400, busyAfter(meterOfOneDaemon, 200, 2),
                                      0.1 * serversBusyAt400);
-        meterOfOneDaemon.setOthers(meterOfOneDaemon.own(clock.now()), clock.now());
+        meterOfOneDaemon.setOthersWork(meterOfOneDaemon.own(clock.now()), clock.now());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(serversBusyAt400,
                                      meterOfOneDaemon.busyServers(engine, servers, 2, clock.now()),
                                      0.1 * serversBusyAt400);
@@ -726,7 +726,7 @@
         targets.avoid(host, harness.clock.now());
         targets.succeeded(host, harness.clock.now());
         targets.progressed(host, harness.clock.now());
-        CPPUNIT_ASSERT(!targets.remembers(host));
+        CPPUNIT_ASSERT(!targets.hasStats(host));
     }
 
     // Servers accept no requests for a while before they leave the fleet: they announce that they
@@ -748,16 +748,16 @@
         harness.plan.replicas.back().phase = ReplicaPhase::Broken;
         harness.rebuild();
         // Servers that are leaving may still serve requests.
-        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
+        CPPUNIT_ASSERT(harness.state.targets.takeRemovedEndpoints().empty());
         for (const HostId &host : { plain, head })
             harness.fleet.remove(incarnationOf(host).name, harness.clock.now());
         harness.rebuild();
-        const std::vector<Endpoint> dropped = harness.state.targets.takeDropped();
+        const std::vector<Endpoint> dropped = harness.state.targets.takeRemovedEndpoints();
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), dropped.size());
         CPPUNIT_ASSERT(std::count(dropped.begin(), dropped.end(), plainServer) == 1);
         CPPUNIT_ASSERT(std::count(dropped.begin(), dropped.end(), headServer) == 1);
         harness.rebuild();
-        CPPUNIT_ASSERT(harness.state.targets.takeDropped().empty());
+        CPPUNIT_ASSERT(harness.state.targets.takeRemovedEndpoints().empty());
     }
 
     // Registrations lapse while the store is unavailable, though the daemons still run. The retry
--- a/ramphinge/dispatch/event_stream.h
+++ b/ramphinge/dispatch/event_stream.h
@@ -29,7 +29,7 @@
     std::optional<StreamEvent> next();
 
     // Number of buffered bytes that don't form a complete event yet.
-    std::size_t rest() const { return m_buffer.size(); }
+    std::size_t incompleteBytes() const { return m_buffer.size(); }
 
 private:
     std::string m_buffer; // Invariant: has no complete event after next() returned nothing.
--- a/ramphinge/dispatch/internal/streamed_request.cpp
+++ b/ramphinge/dispatch/internal/streamed_request.cpp
@@ -427,7 +427,7 @@
 // that stops closes it as well.
 bool StreamedRequest::isComplete(const UpstreamStream &upstream) const
 {
-    if (upstream.reader.rest() > 0)
+    if (upstream.reader.incompleteBytes() > 0)
         return false;
     return upstream.begun || (!m_lastEvent.empty() && !m_call->endsWithConnection());
 }
@@ -479,10 +479,10 @@
         if (got.value() == 0) {
             if (isComplete(upstream))
                 return finishResponse(upstream, yield);
-            logFailedAttempt(target, "cut_short",
-                             "the response ended with " + std::to_string(upstream.reader.rest())
-                                 + " bytes of an incomplete event after event "
-                                 + m_lastEvent.text());
+            logFailedAttempt(
+                target, "cut_short",
+                "the response ended with " + std::to_string(upstream.reader.incompleteBytes())
+                    + " bytes of an incomplete event after event " + m_lastEvent.text());
             if (m_call->endsWithConnection())
                 awaitCrashVerdict(target, upstream.sentAt, yield);
             return AttemptEnd::Failed;
--- a/ramphinge/dispatch/target_draw_test.cpp
+++ b/ramphinge/dispatch/target_draw_test.cpp
@@ -360,7 +360,7 @@
         const Duration idle = table.expectedTime(near, prompt, now);
         table.setOthersLoad({ { near, 2 * slots, 20'000 } }, now);
         CPPUNIT_ASSERT(table.expectedTime(near, prompt, now) > 3 * idle);
-        const MonotonicTime later = now + TargetTableOptions().othersLoadLasts;
+        const MonotonicTime later = now + TargetTableOptions().othersLoadMaxAge;
         CPPUNIT_ASSERT(table.expectedTime(near, prompt, later) == idle);
     }
 };
--- a/ramphinge/dispatch/target_table.cpp
+++ b/ramphinge/dispatch/target_table.cpp
@@ -147,7 +147,7 @@
 
 bool TargetTable::hasRecentOthersLoad(MonotonicTime now) const
 {
-    return m_othersLoadAt && now - *m_othersLoadAt < m_options.othersLoadLasts;
+    return m_othersLoadAt && now - *m_othersLoadAt < m_options.othersLoadMaxAge;
 }
 
 double TargetTable::runningAt(const Target &target, const TargetStats &stats,
@@ -466,7 +466,7 @@
     return found == m_stats.end() ? 0 : found->second.begun;
 }
 
-std::vector<Endpoint> TargetTable::takeDropped()
+std::vector<Endpoint> TargetTable::takeRemovedEndpoints()
 {
     return std::move(m_removedEndpoints);
 }
--- a/ramphinge/dispatch/target_table.h
+++ b/ramphinge/dispatch/target_table.h
@@ -69,7 +69,7 @@
     Duration maxAvoidDuration = std::chrono::seconds(6);
     // How long the other daemons' reported load is used: six report intervals of 250 ms, about the
     // duration of a request. After that, the load is extrapolated from the daemon's own requests.
-    Duration othersLoadLasts = std::chrono::milliseconds(1500);
+    Duration othersLoadMaxAge = std::chrono::milliseconds(1500);
     TargetDrawOptions targetDraw;
 };
 
@@ -129,14 +129,14 @@
 
     bool knows(const HostId &host) const { return m_targets.count(host) > 0; }
     // Whether statistics of the host are kept.
-    bool remembers(const HostId &host) const { return m_stats.count(host) > 0; }
+    bool hasStats(const HostId &host) const { return m_stats.count(host) > 0; }
     std::size_t size() const { return m_targets.size(); }
     int inFlight(const HostId &host) const;
     // This daemon's requests there that have begun and not ended.
     int activeStreams(const HostId &host) const;
 
     // Endpoints of servers that have left the fleet since the last call.
-    std::vector<Endpoint> takeDropped();
+    std::vector<Endpoint> takeRemovedEndpoints();
 
 private:
     struct TargetStats
