--- a/ramphinge/dispatch/stream_run_test.cpp
+++ b/ramphinge/dispatch/streamed_request_test.cpp
@@ -113,9 +113,9 @@
 
 } // namespace
 
-class StreamRunTest : public CppUnit::TestFixture
+class StreamedRequestTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(StreamRunTest);
+    CPPUNIT_TEST_SUITE(StreamedRequestTest);
     CPPUNIT_TEST(streamWithNoEventsLeftIsCompleted);
     CPPUNIT_TEST(resumeAfterTheLastEventIsCompleted);
     CPPUNIT_TEST(answerWithoutAnyEventIsIncomplete);
@@ -879,4 +879,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StreamRunTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StreamedRequestTest);
