--- a/ramphinge/fleet_control/relayed_sync_test.cpp
+++ b/ramphinge/fleet_control/relayed_sync_test.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 // Returns scripted answers and records the requests. Without an answer left, no relay can be asked.
-class ScriptedUpdateSource : public NewsSource
+class ScriptedUpdateSource : public UpdateSource
 {
 public:
     explicit ScriptedUpdateSource(ManualClock &clock) : m_clock(clock) { }
 
     bool canAsk(bool) const override { return !answers.empty(); }
 
-    Result<RelayedNews> next(Revision after, Duration wait, bool storeLost, Yield) override
+    Result<RelayedUpdate> next(Revision after, Duration wait, bool storeLost, Yield) override
     {
         requests.push_back({ after, wait, storeLost });
         m_clock.advance(answerDelay);
-        Result<RelayedNews> answer = std::move(answers.front());
+        Result<RelayedUpdate> answer = std::move(answers.front());
         answers.pop_front();
         return answer;
     }
@@ -31,10 +31,10 @@
     // Adds an answer that was complete `ago` before now.
     void addAnswer(Revision upTo, std::vector<StoreChange> changes, Duration ago = {})
     {
-        RelayedNews updates;
+        RelayedUpdate updates;
         updates.batch.upTo = upTo;
         updates.batch.changes = std::move(changes);
-        updates.provenAt = m_clock.now() - ago;
+        updates.freshAsOf = m_clock.now() - ago;
         answers.push_back(std::move(updates));
     }
 
@@ -46,19 +46,19 @@
     };
 
     Duration answerDelay {};
-    std::deque<Result<RelayedNews>> answers;
+    std::deque<Result<RelayedUpdate>> answers;
     std::vector<Request> requests;
 
 private:
     ManualClock &m_clock;
 };
 
-class CountingListener : public PictureListener
+class CountingListener : public ViewListener
 {
 public:
-    void pictureListed(Revision, MonotonicTime) override { ++listed; }
-    void pictureAdvanced(const WatchBatch &, MonotonicTime) override { ++advanced; }
-    void pictureStopped() override { ++stopped; }
+    void viewListed(Revision, MonotonicTime) override { ++listed; }
+    void viewAdvanced(const WatchBatch &, MonotonicTime) override { ++advanced; }
+    void viewStopped() override { ++stopped; }
 
     int listed = 0;
     int advanced = 0;
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -136,7 +136,7 @@
     return batches ? currentBatchDelay() : Duration::zero();
 }
 
-void StoreSync::useRelays(NewsSource &source, PictureListener &listener,
+void StoreSync::useRelays(UpdateSource &source, ViewListener &listener,
                           std::function<bool()> isRelay)
 {
     m_relaySource = &source;
@@ -171,7 +171,7 @@
     } catch (const std::exception &e) {
         m_fleet.synced = false;
         if (m_viewListener != nullptr)
-            m_viewListener->pictureStopped();
+            m_viewListener->viewStopped();
         handleFailure(startedAt, Error(ErrorKind::Unknown, e.what()));
         throw;
     }
@@ -188,7 +188,7 @@
     if (status.ok())
         return;
     if (m_viewListener != nullptr)
-        m_viewListener->pictureStopped();
+        m_viewListener->viewStopped();
     if (status.error().kind() == ErrorKind::NotFound) {
         m_log.write("history_lost", LogWeight::Belief, { { "after", m_syncedRevision.count() } });
         m_fleet.synced = false;
@@ -295,7 +295,7 @@
     m_fleet.synced = true;
     recordFreshness(startedAt);
     if (m_viewListener != nullptr)
-        m_viewListener->pictureListed(m_syncedRevision, startedAt);
+        m_viewListener->viewListed(m_syncedRevision, startedAt);
     m_log.write(
         "store_listed", LogWeight::Belief,
         { { "up_to", m_syncedRevision.count() }, { "servers", m_fleet.servers.servers().size() } });
@@ -317,7 +317,7 @@
     if (m_isCaughtUp)
         recordFreshness(startedAt);
     if (m_viewListener != nullptr)
-        m_viewListener->pictureAdvanced(batch.value(), m_isCaughtUp ? startedAt : m_freshAsOf);
+        m_viewListener->viewAdvanced(batch.value(), m_isCaughtUp ? startedAt : m_freshAsOf);
     if (m_hadChanges)
         m_onChange();
     return Done {};
@@ -325,12 +325,13 @@
 
 // Asks relays until one has a view: one without refuses immediately, and asking the next one costs
 // no store call.
-Result<RelayedNews> StoreSync::nextRelayedChanges(Duration wait, Yield yield)
+Result<RelayedUpdate> StoreSync::nextRelayedChanges(Duration wait, Yield yield)
 {
     const bool storeLost = !m_fleet.storeReachable;
     for (int attempt = 1;; ++attempt) {
         const MonotonicTime askedAt = m_clock.now();
-        Result<RelayedNews> update = m_relaySource->next(m_syncedRevision, wait, storeLost, yield);
+        Result<RelayedUpdate> update =
+            m_relaySource->next(m_syncedRevision, wait, storeLost, yield);
         const bool wasQuick = m_clock.now() - askedAt < maxRefusalTime;
         const bool mayAskNext = !update.ok() && update.error().kind() == ErrorKind::Unavailable
             && wasQuick && attempt < maxRelaysAsked && m_relaySource->canAsk(storeLost);
@@ -351,7 +352,7 @@
     const Duration wait = m_fleet.storeReachable ? std::clamp(remaining, Duration::zero(), maxWait)
                                                  : m_options.relayRequestWait;
     const MonotonicTime askedAt = m_clock.now();
-    const Result<RelayedNews> update = nextRelayedChanges(wait, yield);
+    const Result<RelayedUpdate> update = nextRelayedChanges(wait, yield);
     if (!update.ok()) {
         m_log.write("relay_not_used", LogWeight::Routine,
                     { { "up_to", m_syncedRevision.count() }, { "why", update.error().message() } });
@@ -363,9 +364,9 @@
         return watchStore(isOld || !m_fleet.storeReachable ? probeWait : watchWait(), yield);
     }
     m_lastAnswerWasRelayed = true;
-    handleAnswer(update.value().provenAt);
+    handleAnswer(update.value().freshAsOf);
     applyBatch(update.value().batch);
-    recordFreshness(update.value().provenAt);
+    recordFreshness(update.value().freshAsOf);
     if (m_hadChanges)
         m_onChange();
     return Done {};
--- a/ramphinge/fleet_control/store_sync.h
+++ b/ramphinge/fleet_control/store_sync.h
@@ -14,7 +14,7 @@
 #include "ramphinge/base/random.h"
 #include "ramphinge/fleet_control/fleet_state.h"
 #include "ramphinge/observe/decision_log.h"
-#include "ramphinge/store/news_source.h"
+#include "ramphinge/store/update_source.h"
 
 namespace ramphinge {
 
@@ -95,7 +95,7 @@
     // From now on changes come from `source` while it has a relay to ask, and `listener` is
     // notified of what the store itself returns. `isRelay` says whether other daemons follow this
     // view. `source` and `listener` must outlive this object.
-    void useRelays(NewsSource &source, PictureListener &listener, std::function<bool()> isRelay);
+    void useRelays(UpdateSource &source, ViewListener &listener, std::function<bool()> isRelay);
 
     // Runs until stop(). Calls `onChange` after each change of the view.
     void run(Yield yield);
@@ -118,7 +118,7 @@
     Status listStore(Yield yield);
     Status watchStore(Duration wait, Yield yield);
     Status watchRelay(Yield yield);
-    Result<RelayedNews> nextRelayedChanges(Duration wait, Yield yield);
+    Result<RelayedUpdate> nextRelayedChanges(Duration wait, Yield yield);
     void applyBatch(const WatchBatch &batch);
     Duration watchWait() const;
     Duration currentBatchDelay() const;
@@ -157,8 +157,8 @@
     // The last answer was complete; else the next iteration follows immediately.
     bool m_isCaughtUp = true;
     bool m_lastAnswerWasRelayed = false; // The last answer came from a relay.
-    NewsSource *m_relaySource = nullptr; // Null if there are no relays.
-    PictureListener *m_viewListener = nullptr; // Null if m_relaySource is.
+    UpdateSource *m_relaySource = nullptr; // Null if there are no relays.
+    ViewListener *m_viewListener = nullptr; // Null if m_relaySource is.
     std::function<bool()> m_isRelay = [] { return false; };
     bool m_stopping = false;
 };
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -230,7 +230,7 @@
         env.run([&](MemoryKeyValueStore &store, IoContext &io, Yield yield) {
             DaemonParts daemon(io, env.clock, store, "d1");
             daemon.sync.round(yield);
-            const MonotonicTime provenAt = env.clock.now();
+            const MonotonicTime freshAsOf = env.clock.now();
             for (const char *host : { "a", "b", "c", "d", "e" })
                 store.put(StoreKey(std::string("server/") + host), "chat");
             store.put(catalogKey, "7");
@@ -239,7 +239,7 @@
                 env.clock.advance(std::chrono::seconds(1));
                 daemon.sync.round(yield);
                 CPPUNIT_ASSERT(*daemon.dispatch.freshness.age(env.clock.now())
-                               == env.clock.now() - provenAt);
+                               == env.clock.now() - freshAsOf);
             }
             while (daemon.fleet.servers.servers().size() < 5 || !daemon.dispatch.catalog)
                 daemon.sync.round(yield);
--- a/ramphinge/relay/relay_node.cpp
+++ b/ramphinge/relay/relay_node.cpp
@@ -299,7 +299,7 @@
     return true;
 }
 
-Result<RelayedNews> RelayNode::next(Revision after, Duration wait, bool storeLost, Yield yield)
+Result<RelayedUpdate> RelayNode::next(Revision after, Duration wait, bool storeLost, Yield yield)
 {
     const DaemonRegistration *first =
         m_network == nullptr ? nullptr : firstAvailableRelay(m_clock.now(), storeLost);
@@ -323,9 +323,9 @@
     return toRelayedUpdate(relay.daemon, *m_request.response, requestedAt);
 }
 
-Result<RelayedNews> RelayNode::toRelayedUpdate(const DaemonId &relay,
-                                               const StoreUpdateMessage &update,
-                                               MonotonicTime requestedAt)
+Result<RelayedUpdate> RelayNode::toRelayedUpdate(const DaemonId &relay,
+                                                 const StoreUpdateMessage &update,
+                                                 MonotonicTime requestedAt)
 {
     if (update.verdict == UpdateVerdict::NoView)
         backOff(relay, toString(update.verdict), m_options.noViewBackoff);
@@ -335,11 +335,11 @@
         return Error(errorKindOf(update.verdict),
                      std::string("the relay declined the request: ") + toString(update.verdict));
     m_currentRelay = relay;
-    RelayedNews relayed;
+    RelayedUpdate relayed;
     relayed.batch.upTo = update.upTo;
     relayed.batch.changes = update.changes;
     relayed.batch.reachesPresent = !update.moreFollow;
-    relayed.provenAt = localFreshnessTime(update, requestedAt, m_clock.now());
+    relayed.freshAsOf = localFreshnessTime(update, requestedAt, m_clock.now());
     return relayed;
 }
 
@@ -384,19 +384,19 @@
         m_updateFeed.cancelRequest(peer);
 }
 
-void RelayNode::pictureListed(Revision upTo, MonotonicTime provenAt)
+void RelayNode::viewListed(Revision upTo, MonotonicTime freshAsOf)
 {
-    m_updateFeed.onListed(upTo, provenAt);
+    m_updateFeed.onListed(upTo, freshAsOf);
     m_feedSignal.notify();
 }
 
-void RelayNode::pictureAdvanced(const WatchBatch &batch, MonotonicTime provenAt)
+void RelayNode::viewAdvanced(const WatchBatch &batch, MonotonicTime freshAsOf)
 {
-    m_updateFeed.onAdvanced(batch, provenAt);
+    m_updateFeed.onAdvanced(batch, freshAsOf);
     m_feedSignal.notify();
 }
 
-void RelayNode::pictureStopped()
+void RelayNode::viewStopped()
 {
     m_updateFeed.onStoreLost();
     m_feedSignal.notify();
--- a/ramphinge/relay/relay_node.h
+++ b/ramphinge/relay/relay_node.h
@@ -23,7 +23,7 @@
 #include "ramphinge/relay/load_aggregator.h"
 #include "ramphinge/relay/relay_choice.h"
 #include "ramphinge/relay/update_feed.h"
-#include "ramphinge/store/news_source.h"
+#include "ramphinge/store/update_source.h"
 
 namespace ramphinge {
 
@@ -60,7 +60,7 @@
 };
 
 // Used on its event loop only.
-class RelayNode : public NewsSource, public PictureListener, private PeerHandler
+class RelayNode : public UpdateSource, public ViewListener, private PeerHandler
 {
 public:
     RelayNode(IoContext &io, const Clock &clock, RelayNodeOptions options, DecisionLog &log,
@@ -97,11 +97,11 @@
     bool isRelay() const { return m_role == Role::Relay || isActiveReserve(); }
 
     bool canAsk(bool storeLost) const override;
-    Result<RelayedNews> next(Revision after, Duration wait, bool storeLost, Yield yield) override;
+    Result<RelayedUpdate> next(Revision after, Duration wait, bool storeLost, Yield yield) override;
 
-    void pictureListed(Revision upTo, MonotonicTime provenAt) override;
-    void pictureAdvanced(const WatchBatch &batch, MonotonicTime provenAt) override;
-    void pictureStopped() override;
+    void viewListed(Revision upTo, MonotonicTime freshAsOf) override;
+    void viewAdvanced(const WatchBatch &batch, MonotonicTime freshAsOf) override;
+    void viewStopped() override;
 
 private:
     enum class Role { Follower, Reserve, Relay };
@@ -135,8 +135,8 @@
     const DaemonRegistration *firstAvailableRelay(MonotonicTime now, bool storeLost) const;
     // Connects if needed, and waits up to linkWait. False if there is no link then.
     bool waitForLink(const DaemonRegistration &relay, Yield yield);
-    Result<RelayedNews> toRelayedUpdate(const DaemonId &relay, const StoreUpdateMessage &update,
-                                        MonotonicTime requestedAt);
+    Result<RelayedUpdate> toRelayedUpdate(const DaemonId &relay, const StoreUpdateMessage &update,
+                                          MonotonicTime requestedAt);
     void backOff(const DaemonId &relay, const char *reason, Duration duration,
                  bool storeLost = false);
 
--- a/ramphinge/relay/relay_node_test.cpp
+++ b/ramphinge/relay/relay_node_test.cpp
@@ -42,9 +42,9 @@
     }
 
     // Requests an update, with retries until the link is established.
-    Result<RelayedNews> requestUpdate(IoContext &io, Revision after, Yield yield)
+    Result<RelayedUpdate> requestUpdate(IoContext &io, Revision after, Yield yield)
     {
-        Result<RelayedNews> update = follower.next(after, Duration::zero(), false, yield);
+        Result<RelayedUpdate> update = follower.next(after, Duration::zero(), false, yield);
         for (int i = 0; i < 400 && !update.ok() && isNoLink(update.error()); ++i) {
             sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop open the link.
             update = follower.next(after, Duration::zero(), false, yield);
@@ -59,7 +59,7 @@
         for (RelayNode *node : { &relay, &follower })
             node->setKey("secret");
         spawnCoroutine(io, [this](Yield inner) { relay.run(inner); });
-        relay.pictureListed(Revision(4), clock.now());
+        relay.viewListed(Revision(4), clock.now());
         CPPUNIT_ASSERT(requestUpdate(io, Revision(4), yield).ok());
     }
 
@@ -104,19 +104,18 @@
             CPPUNIT_ASSERT(pair.relay.isRelay() && !pair.follower.isRelay());
             CPPUNIT_ASSERT(pair.follower.canAsk(false) && !pair.relay.canAsk(false));
             spawnCoroutine(io, [&pair](Yield inner) { pair.relay.run(inner); });
-            pair.relay.pictureListed(Revision(4), pair.clock.now());
-            pair.relay.pictureAdvanced({ Revision(5), true, { put("k", "v", 5) } },
-                                       pair.clock.now());
-            const Result<RelayedNews> update = pair.requestUpdate(io, Revision(4), yield);
+            pair.relay.viewListed(Revision(4), pair.clock.now());
+            pair.relay.viewAdvanced({ Revision(5), true, { put("k", "v", 5) } }, pair.clock.now());
+            const Result<RelayedUpdate> update = pair.requestUpdate(io, Revision(4), yield);
             CPPUNIT_ASSERT(update.ok());
             CPPUNIT_ASSERT_EQUAL(Revision(5), update.value().batch.upTo);
             CPPUNIT_ASSERT_EQUAL(std::string("v"),
                                  update.value().batch.changes.at(0).stored->value);
-            CPPUNIT_ASSERT(update.value().provenAt <= pair.clock.now());
-            const Result<RelayedNews> old = pair.requestUpdate(io, Revision(3), yield);
+            CPPUNIT_ASSERT(update.value().freshAsOf <= pair.clock.now());
+            const Result<RelayedUpdate> old = pair.requestUpdate(io, Revision(3), yield);
             CPPUNIT_ASSERT(old.error().kind() == ErrorKind::NotFound);
-            pair.relay.pictureStopped();
-            const Result<RelayedNews> lost = pair.requestUpdate(io, Revision(5), yield);
+            pair.relay.viewStopped();
+            const Result<RelayedUpdate> lost = pair.requestUpdate(io, Revision(5), yield);
             CPPUNIT_ASSERT(lost.error().kind() == ErrorKind::Unavailable);
             CPPUNIT_ASSERT(!pair.follower.canAsk(false)); // In backoff.
             CPPUNIT_ASSERT(pair.follower.canAsk(true)); // Without the store, it is available.
@@ -133,7 +132,7 @@
             pair->registerBoth();
             for (RelayNode *node : { &pair->relay, &pair->follower })
                 node->setKey("secret");
-            pair->relay.pictureListed(Revision(4), pair->clock.now());
+            pair->relay.viewListed(Revision(4), pair->clock.now());
             // The relay sends no responses, since its run() isn't called; then its links end.
             spawnCoroutine(io, [&](Yield inner) {
                 while (pair->metrics.value(MetricName("relay_links")) < 1)
@@ -141,7 +140,7 @@
                 sleepFor(io, std::chrono::milliseconds(50), inner);
                 pair->relay.close();
             });
-            const Result<RelayedNews> update = pair->requestUpdate(io, Revision(4), yield);
+            const Result<RelayedUpdate> update = pair->requestUpdate(io, Revision(4), yield);
             CPPUNIT_ASSERT(update.error().kind() == ErrorKind::Unknown);
             CPPUNIT_ASSERT(!pair->follower.canAsk(false));
         });
@@ -155,9 +154,9 @@
             pair.registerBoth();
             pair.relay.setKey("secret");
             pair.follower.setKey("another");
-            pair.relay.pictureListed(Revision(4), pair.clock.now());
+            pair.relay.viewListed(Revision(4), pair.clock.now());
             for (int i = 0; i < 20; ++i) {
-                const Result<RelayedNews> update =
+                const Result<RelayedUpdate> update =
                     pair.follower.next(Revision(4), Duration::zero(), false, yield);
                 CPPUNIT_ASSERT(!update.ok());
                 sleepFor(io, std::chrono::milliseconds(2), yield); // Lets the loop try a link.
@@ -259,18 +258,18 @@
                 node->setKey("secret");
             }
             CPPUNIT_ASSERT(!reserve.isRelay());
-            reserve.pictureListed(Revision(4), pair.clock.now());
+            reserve.viewListed(Revision(4), pair.clock.now());
             spawnCoroutine(io, [&reserve](Yield inner) { reserve.run(inner); });
             CPPUNIT_ASSERT(!reserveFollower.next(Revision(4), Duration::zero(), false, yield).ok());
             pair.clock.advance(std::chrono::seconds(1));
             CPPUNIT_ASSERT(!reserveFollower.next(Revision(4), Duration::zero(), false, yield).ok());
-            Result<RelayedNews> update = Error(ErrorKind::Unknown, "not asked");
+            Result<RelayedUpdate> update = Error(ErrorKind::Unknown, "not asked");
             for (int i = 0; i < 400 && !reserve.isRelay(); ++i) {
                 update = reserveFollower.next(Revision(4), Duration::zero(), false, yield);
                 sleepFor(io, std::chrono::milliseconds(5), yield); // Lets the loop open the link.
             }
             CPPUNIT_ASSERT(reserve.isRelay()); // It has received a request.
-            reserve.pictureAdvanced({ Revision(5), true, {} }, pair.clock.now());
+            reserve.viewAdvanced({ Revision(5), true, {} }, pair.clock.now());
             pair.clock.advance(RelayNodeOptions().noViewBackoff);
             update = reserveFollower.next(Revision(5), Duration::zero(), false, yield);
             CPPUNIT_ASSERT(update.ok());
--- a/ramphinge/relay/update_feed.cpp
+++ b/ramphinge/relay/update_feed.cpp
@@ -20,18 +20,18 @@
     m_logStarted = false; // Earlier changes weren't logged: the next listing or batch restarts it.
 }
 
-void UpdateFeed::onListed(Revision upTo, MonotonicTime provenAt)
+void UpdateFeed::onListed(Revision upTo, MonotonicTime freshAsOf)
 {
     m_log.restart(upTo);
     m_logStarted = m_serving;
     m_storeReachable = true;
-    m_provenAt = provenAt;
+    m_freshAsOf = freshAsOf;
 }
 
-void UpdateFeed::onAdvanced(const WatchBatch &batch, MonotonicTime provenAt)
+void UpdateFeed::onAdvanced(const WatchBatch &batch, MonotonicTime freshAsOf)
 {
     m_storeReachable = true;
-    m_provenAt = provenAt;
+    m_freshAsOf = freshAsOf;
     if (!m_serving)
         return;
     if (m_logStarted) {
@@ -96,7 +96,7 @@
     update.verdict = UpdateVerdict::Update;
     update.upTo = logged->upTo;
     update.moreFollow = !logged->isComplete;
-    update.staleness = update.moreFollow ? unknownStaleness : pending.requestedAt - m_provenAt;
+    update.staleness = update.moreFollow ? unknownStaleness : pending.requestedAt - m_freshAsOf;
     update.changes = std::move(logged->changes);
     return update;
 }
--- a/ramphinge/relay/update_feed.h
+++ b/ramphinge/relay/update_feed.h
@@ -58,10 +58,10 @@
     // are logged.
     void setServing(bool serving);
 
-    // The relay's own view was listed anew, advanced by a batch, or lost its store. `provenAt` is
+    // The relay's own view was listed anew, advanced by a batch, or lost its store. `freshAsOf` is
     // the time up to which the view holds every change.
-    void onListed(Revision upTo, MonotonicTime provenAt);
-    void onAdvanced(const WatchBatch &batch, MonotonicTime provenAt);
+    void onListed(Revision upTo, MonotonicTime freshAsOf);
+    void onAdvanced(const WatchBatch &batch, MonotonicTime freshAsOf);
     void onStoreLost() { m_storeReachable = false; }
 
     // A later request of the same daemon replaces the earlier one. A request beyond
@@ -97,7 +97,7 @@
     bool m_serving = false;
     bool m_logStarted = false; // m_log holds every change since its last restart.
     bool m_storeReachable = false; // The last call to the store succeeded.
-    MonotonicTime m_provenAt; // The view holds every change up to this time.
+    MonotonicTime m_freshAsOf; // The view holds every change up to this time.
     std::vector<PendingRequest> m_pending; // Invariant: at most one per daemon.
 };
 
--- a/ramphinge/store/news_source.h
+++ b/ramphinge/store/update_source.h
@@ -9,19 +9,19 @@
 
 namespace ramphinge {
 
-struct RelayedNews
+struct RelayedUpdate
 {
     WatchBatch batch;
     // A view to which the batch is applied holds every change up to this time at least, on the
     // requester's clock. May be too early, never too late.
-    MonotonicTime provenAt;
+    MonotonicTime freshAsOf;
 };
 
 // Used on its event loop only.
-class NewsSource
+class UpdateSource
 {
 public:
-    virtual ~NewsSource() = default;
+    virtual ~UpdateSource() = default;
 
     // Whether there is a relay to ask; `storeLost` as in next().
     virtual bool canAsk(bool storeLost) const = 0;
@@ -31,22 +31,22 @@
     // again or `wait` is over. Errors: Unavailable (no link, or the relay has no current view),
     // NotFound (the relay's history does not reach back to the revision), Overloaded (one change
     // exceeds the size limit of a relayed answer), Unknown (no answer in time).
-    virtual Result<RelayedNews> next(Revision after, Duration wait, bool storeLost,
-                                     Yield yield) = 0;
+    virtual Result<RelayedUpdate> next(Revision after, Duration wait, bool storeLost,
+                                       Yield yield) = 0;
 };
 
 // Is notified of changes to the view of a daemon that watches the store itself.
-class PictureListener
+class ViewListener
 {
 public:
-    virtual ~PictureListener() = default;
+    virtual ~ViewListener() = default;
 
-    // The view was listed anew: it holds all changes up to `upTo`, and all made by `provenAt`.
-    virtual void pictureListed(Revision upTo, MonotonicTime provenAt) = 0;
-    // The view holds every change up to batch.upTo, and all made by `provenAt`.
-    virtual void pictureAdvanced(const WatchBatch &batch, MonotonicTime provenAt) = 0;
+    // The view was listed anew: it holds all changes up to `upTo`, and all made by `freshAsOf`.
+    virtual void viewListed(Revision upTo, MonotonicTime freshAsOf) = 0;
+    // The view holds every change up to batch.upTo, and all made by `freshAsOf`.
+    virtual void viewAdvanced(const WatchBatch &batch, MonotonicTime freshAsOf) = 0;
     // The store can't be reached, or the view misses changes and will be listed anew.
-    virtual void pictureStopped() = 0;
+    virtual void viewStopped() = 0;
 };
 
 } // namespace ramphinge
