--- a/ramphinge/fleet_control/key_holder.cpp
+++ b/ramphinge/fleet_control/key_holder.cpp
@@ -54,7 +54,7 @@
         { { m_options.key, m_options.value, expected, granted.value().lease } }, yield);
     if (!written.ok()) {
         // Whether or not the key was written, it is removed with the lease.
-        static_cast<void>(m_store.endLease(granted.value().lease, yield));
+        static_cast<void>(m_store.revokeLease(granted.value().lease, yield));
         sleepFor(m_io, m_random.jittered(m_options.renewalInterval, 1.0), yield);
         return;
     }
@@ -95,7 +95,7 @@
     if (!m_held)
         return;
     m_held = false;
-    const Status ended = m_store.endLease(m_lease, yield);
+    const Status ended = m_store.revokeLease(m_lease, yield);
     m_log.write("key_released", LogWeight::Belief,
                 { { "key", m_options.key.text() }, { "store_confirmed", ended.ok() } });
 }
--- a/ramphinge/fleet_control/relayed_sync_test.cpp
+++ b/ramphinge/fleet_control/relayed_sync_test.cpp
@@ -249,7 +249,7 @@
             const StoreSyncOptions options = largeFleetOptions();
             clock.advance(options.maxRelayedAge - std::chrono::milliseconds(10));
             relayed.store.put(StoreKey("server/b"), "chat");
-            relayed.updates.answerDelay = std::chrono::milliseconds(10) + watchLateness;
+            relayed.updates.answerDelay = std::chrono::milliseconds(10) + maxWatchLateness;
             relayed.updates.answers.push_back(Error(ErrorKind::Unknown, "no answer"));
             relayed.daemon.sync.round(yield);
             CPPUNIT_ASSERT(relayed.updates.requests.front().wait == std::chrono::milliseconds(10));
@@ -366,7 +366,7 @@
             CPPUNIT_ASSERT(2 * options.watchWaitAsRelay + options.batchDelayAsRelay
                                + options.relayRequestWait
                            <= options.maxRelayedAge + std::chrono::milliseconds(1));
-            CPPUNIT_ASSERT(options.maxRelayedAge + watchLateness < bounds.changeInForce);
+            CPPUNIT_ASSERT(options.maxRelayedAge + maxWatchLateness < bounds.changeInForce);
         }
     }
 
--- a/ramphinge/fleet_control/store_sync.cpp
+++ b/ramphinge/fleet_control/store_sync.cpp
@@ -60,15 +60,15 @@
 namespace {
 
 // In the worst case the view is already `maxRelayedAge` old when a relay is asked, and the request
-// fails only after `watchLateness`. Then the store is called, which takes up to `recoveryTime`. All
-// of that must fit within the bounds. A relay's own proof is up to two of its watches and one
+// fails only after `maxWatchLateness`. Then the store is called, which takes up to `recoveryTime`.
+// All of that must fit within the bounds. A relay's own proof is up to two of its watches and one
 // batching delay old, and the relay may let the request wait.
 void setRelayTimes(StoreSyncOptions &options, const StalenessBounds &bounds)
 {
     Duration strictest = std::min(bounds.changeInForce, bounds.connectivityGrace);
     if (bounds.proofLifetime)
         strictest = std::min(strictest, *bounds.proofLifetime);
-    const Duration age = strictest - watchLateness - 2 * recoveryTime;
+    const Duration age = strictest - maxWatchLateness - 2 * recoveryTime;
     if (age < minRelayedAge)
         return;
     options.maxRelayedAge = age;
@@ -95,7 +95,7 @@
     // times out and the call after it must fit within the connectivity grace. With watches of 5 s,
     // one daemon of 68 got no changes for 8 s after an outage of 2.4 s.
     Duration watchLimit =
-        bounds.connectivityGrace - options.batchDelay - watchLateness - recoveryTime;
+        bounds.connectivityGrace - options.batchDelay - maxWatchLateness - recoveryTime;
     // A watch that ends proves that the view was current when the watch began. So during a watch,
     // the proof dates from the beginning of the previous one.
     if (bounds.proofLifetime)
--- a/ramphinge/fleet_control/store_sync_test.cpp
+++ b/ramphinge/fleet_control/store_sync_test.cpp
@@ -327,7 +327,7 @@
     void retainedServersHaveTimeToRegisterAgain()
     {
         const StoreSyncOptions options;
-        const Duration answers = watchLateness + 2 * options.retryDelay;
+        const Duration answers = maxWatchLateness + 2 * options.retryDelay;
         CPPUNIT_ASSERT(options.returnGrace > std::chrono::seconds(2));
         StalenessBounds bounds;
         bounds.serverHeartbeat = std::chrono::milliseconds(500);
@@ -526,7 +526,7 @@
         for (int i = 0; i < 6; ++i) {
             lastCallAt = env.clock.now();
             daemon.sync.round(yield);
-            env.clock.advance(watchLateness + StoreSyncOptions().retryDelay);
+            env.clock.advance(maxWatchLateness + StoreSyncOptions().retryDelay);
             daemon.sync.expireRetained();
         }
         store.setDown(false);
@@ -629,7 +629,7 @@
         }
         // Without a proof to renew, a watch must still end in time to detect a stalled connection.
         const StoreSyncOptions options = storeSyncOptions({});
-        CPPUNIT_ASSERT(options.batchDelay + options.watchWait + watchLateness
+        CPPUNIT_ASSERT(options.batchDelay + options.watchWait + maxWatchLateness
                        < options.connectivityGrace);
     }
 
--- a/ramphinge/store/key_value_store.h
+++ b/ramphinge/store/key_value_store.h
@@ -42,7 +42,7 @@
 // How long after its wait a watch may still be answered; then it fails, since its connection may be
 // dead without having been closed. An answer takes 4 ms, and 240 ms from a store that is sixty
 // times slower.
-constexpr Duration watchLateness = std::chrono::milliseconds(600);
+constexpr Duration maxWatchLateness = std::chrono::milliseconds(600);
 
 // Used on its event loop only. Every call returns within its timeout.
 class KeyValueStore
@@ -55,7 +55,7 @@
     virtual Result<StoreSnapshot> list(const StoreKey &prefix, Yield yield) = 0;
 
     // Waits up to `wait` for changes below `prefix` after a revision. Fails if there is no answer
-    // within `watchLateness` after `wait`.
+    // within `maxWatchLateness` after `wait`.
     virtual Result<WatchBatch> watch(const StoreKey &prefix, Revision after, Duration wait,
                                      Yield yield) = 0;
 
@@ -64,7 +64,7 @@
 
     virtual Result<GrantedLease> grantLease(Duration lifetime, Yield yield) = 0;
     virtual Status renewLease(LeaseId lease, Yield yield) = 0;
-    virtual Status endLease(LeaseId lease, Yield yield) = 0;
+    virtual Status revokeLease(LeaseId lease, Yield yield) = 0;
 };
 
 } // namespace ramphinge
--- a/testing/memory_key_value_store.cpp
+++ b/testing/memory_key_value_store.cpp
@@ -90,7 +90,7 @@
                                               Yield yield)
 {
     if (std::exchange(m_silent, false)) {
-        m_clock.advance(wait + watchLateness);
+        m_clock.advance(wait + maxWatchLateness);
         return Error(ErrorKind::Unknown, "the connection is silent");
     }
     if (const Status entered = enter(yield); !entered.ok())
@@ -156,7 +156,7 @@
     return Done {};
 }
 
-Status MemoryKeyValueStore::endLease(LeaseId lease, Yield yield)
+Status MemoryKeyValueStore::revokeLease(LeaseId lease, Yield yield)
 {
     if (const Status entered = enter(yield); !entered.ok())
         return entered;
--- a/testing/memory_key_value_store.h
+++ b/testing/memory_key_value_store.h
@@ -24,7 +24,7 @@
     Result<Revision> commit(const std::vector<StoreWrite> &writes, Yield yield) override;
     Result<GrantedLease> grantLease(Duration lifetime, Yield yield) override;
     Status renewLease(LeaseId lease, Yield yield) override;
-    Status endLease(LeaseId lease, Yield yield) override;
+    Status revokeLease(LeaseId lease, Yield yield) override;
 
     // Writes as the platform itself or another daemon would.
     void put(const StoreKey &key, const std::string &value, LeaseId lease = noLease);
