--- a/ramphinge/control/internal/hub_peers.cpp
+++ b/ramphinge/control/internal/hub_peers.cpp
@@ -203,7 +203,7 @@
 
 void Hub::Impl::gossipService()
 {
-    const std::vector<ModelService> given = gateway->takeService();
+    const std::vector<ModelService> given = gateway->takeUnreportedService();
     for (const DaemonId &peer : network->linkedPeers()) {
         auto &unsent = unsentService[peer];
         for (const ModelService &model : given) {
--- a/ramphinge/gateway/gateway.cpp
+++ b/ramphinge/gateway/gateway.cpp
@@ -189,7 +189,7 @@
     m_impl->draining = true;
 }
 
-std::vector<ModelService> Gateway::takeService()
+std::vector<ModelService> Gateway::takeUnreportedService()
 {
     std::vector<ModelService> all;
     for (const auto &[model, pool] : m_impl->context.pools) {
--- a/ramphinge/gateway/gateway.h
+++ b/ramphinge/gateway/gateway.h
@@ -79,7 +79,7 @@
     // From now on the health check fails; requests are still served.
     void startDraining();
 
-    std::vector<ModelService> takeService();
+    std::vector<ModelService> takeUnreportedService();
     const ReplicaTable &replicas() const;
 
     // How a request of this account for this model would be routed now, for operators.
