--- a/ramphinge/base/process_marks.h
+++ b/ramphinge/base/process_status.h
@@ -8,7 +8,7 @@
 namespace ramphinge {
 
 // Current values, without an order between their updates.
-struct ProcessMarks
+struct ProcessStatus
 {
     std::atomic<int> coroutines { 0 }; // Started and not ended.
     std::atomic<int> openRequests { 0 }; // From admission to the end of the answer.
@@ -17,23 +17,23 @@
 };
 
 // The instance of this process.
-inline ProcessMarks &processMarks()
+inline ProcessStatus &processStatus()
 {
-    static ProcessMarks marks;
+    static ProcessStatus marks;
     return marks;
 }
 
 // Increments a counter for its lifetime.
-class MarkedScope
+class ScopedCounter
 {
 public:
-    explicit MarkedScope(std::atomic<int> &count) : m_count(count)
+    explicit ScopedCounter(std::atomic<int> &count) : m_count(count)
     {
         m_count.fetch_add(1, std::memory_order_relaxed);
     }
-    ~MarkedScope() { m_count.fetch_sub(1, std::memory_order_relaxed); }
-    MarkedScope(const MarkedScope &) = delete;
-    MarkedScope &operator=(const MarkedScope &) = delete;
+    ~ScopedCounter() { m_count.fetch_sub(1, std::memory_order_relaxed); }
+    ScopedCounter(const ScopedCounter &) = delete;
+    ScopedCounter &operator=(const ScopedCounter &) = delete;
 
 private:
     std::atomic<int> &m_count;
--- a/ramphinge/dispatch/dispatcher.cpp
+++ b/ramphinge/dispatch/dispatcher.cpp
@@ -5,7 +5,7 @@
 #include <exception>
 #include <utility>
 
-#include "ramphinge/base/process_marks.h"
+#include "ramphinge/base/process_status.h"
 #include "ramphinge/dispatch/internal/proxied_request.h"
 
 namespace ramphinge {
@@ -71,7 +71,7 @@
 
 void Dispatcher::handle(HttpExchange &exchange, Yield yield)
 {
-    const MarkedScope open(processMarks().openRequests);
+    const ScopedCounter open(processStatus().openRequests);
     DispatchContext &context = m_impl->context;
     const MonotonicTime arrival = context.clock.now();
     context.state.sawRequest = true;
--- a/ramphinge/dispatch/streamed_request_test.cpp
+++ b/ramphinge/dispatch/streamed_request_test.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "ramphinge/base/process_marks.h"
+#include "ramphinge/base/process_status.h"
 #include "ramphinge/dispatch/internal/dispatch_fixture.h"
 #include "ramphinge/testing/cppunit_main.h"
 
@@ -729,7 +729,7 @@
             std::make_shared<RecordedExchange>(HttpRequest { "POST", "/chat/x", {}, "body" });
         if (prepare)
             prepare(*remains.caller);
-        const int before = processMarks().coroutines;
+        const int before = processStatus().coroutines;
         IoContext io(1);
         Dispatcher dispatcher(io, harness.clock, harness.dispatchOptions, harness.codec,
                               harness.upstreams, harness.probe, harness.trials, harness.state,
@@ -751,7 +751,7 @@
             return remains;
         io.restart();
         runCoroutine(io, [&io](Yield yield) { runReadyHandlers(io, yield); });
-        remains.coroutines = processMarks().coroutines - before;
+        remains.coroutines = processStatus().coroutines - before;
         return remains;
     }
 
--- a/ramphinge/net/io.cpp
+++ b/ramphinge/net/io.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <utility>
 
-#include "ramphinge/base/process_marks.h"
+#include "ramphinge/base/process_status.h"
 #include "ramphinge/net/boot_timer.h"
 #include "ramphinge/net/internal/guarded_stack.h"
 #include "ramphinge/observe/log.h"
@@ -27,7 +27,7 @@
         }
     };
     auto counted = [body = std::move(body)](Yield yield) {
-        const MarkedScope scope(processMarks().coroutines);
+        const ScopedCounter scope(processStatus().coroutines);
         body(yield);
     };
     // Guarded: an overflow into a neighbour's stack ends the process later, where nothing tells
--- a/ramphinge/observe/crash_report.cpp
+++ b/ramphinge/observe/crash_report.cpp
@@ -14,7 +14,7 @@
 #include <ucontext.h>
 #include <unistd.h>
 
-#include "ramphinge/base/process_marks.h"
+#include "ramphinge/base/process_status.h"
 
 namespace ramphinge {
 
@@ -160,7 +160,7 @@
 void handleFatalSignal(int signal, siginfo_t *info, void *context)
 {
     HandlerData &data = handlerData();
-    const ProcessMarks &marks = processMarks();
+    const ProcessStatus &marks = processStatus();
     timespec now {};
     clock_gettime(CLOCK_REALTIME, &now);
     CrashFacts facts;
@@ -240,7 +240,7 @@
     // The first call of backtrace() loads a library, which a signal handler must not do.
     std::array<void *, 1> loaded {};
     backtrace(loaded.data(), static_cast<int>(loaded.size()));
-    processMarks();
+    processStatus();
 
     stack_t stack {};
     stack.ss_sp = data.stack.data();
--- a/ramphinge/observe/decision_log.cpp
+++ b/ramphinge/observe/decision_log.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "ramphinge/base/process_marks.h"
+#include "ramphinge/base/process_status.h"
 #include "ramphinge/observe/log.h"
 
 namespace ramphinge {
@@ -26,7 +26,7 @@
 
 void DecisionLog::write(const char *event, LogWeight weight, nlohmann::json fields)
 {
-    processMarks().lastDecision.store(event, std::memory_order_relaxed);
+    processStatus().lastDecision.store(event, std::memory_order_relaxed);
     if (weight != LogWeight::Belief) {
         const double perSecond =
             weight == LogWeight::Routine ? m_options.routinePerSecond : m_options.failuresPerSecond;
--- a/ramphinge/observe/observe_test.cpp
+++ b/ramphinge/observe/observe_test.cpp
@@ -8,7 +8,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include "ramphinge/base/process_marks.h"
+#include "ramphinge/base/process_status.h"
 #include "ramphinge/observe/crash_report.h"
 #include "ramphinge/observe/decision_log.h"
 #include "ramphinge/observe/log.h"
@@ -129,7 +129,7 @@
         log.write("chosen", LogWeight::Routine, {});
         CPPUNIT_ASSERT_EQUAL(std::int64_t(1), log.leftOut("chosen"));
         CPPUNIT_ASSERT_EQUAL(std::string("chosen"),
-                             std::string(processMarks().lastDecision.load()));
+                             std::string(processStatus().lastDecision.load()));
     }
 
     void crashLinesAreValidJsonForAnyText()
