--- a/ramphinge/claims/claim_table.cpp
+++ b/ramphinge/claims/claim_table.cpp
@@ -33,8 +33,8 @@
     return stableHash(key.key.text(), stableHash(key.account.text()));
 }
 
-ClaimTable::ClaimTable(ClaimTableOptions options, WallTime vouchesSince)
-    : m_options(options), m_vouchesSince(vouchesSince)
+ClaimTable::ClaimTable(ClaimTableOptions options, WallTime soleOwnerSince)
+    : m_options(options), m_soleOwnerSince(soleOwnerSince)
 { }
 
 bool ClaimTable::isKnownUngranted(const ClaimKey &key, const Clock &clock) const
@@ -43,16 +43,16 @@
     const auto skew = std::chrono::duration_cast<Milliseconds>(m_options.clockSkew);
     const std::optional<KeyStamp> stamp = parseKeyStamp(key.key);
     if (!stamp) {
-        const bool hadNoOtherOwner = m_vouchesSince == WallTime();
+        const bool hadNoOtherOwner = m_soleOwnerSince == WallTime();
         const auto horizon =
             std::chrono::duration_cast<Milliseconds>(m_options.opaqueKeyRetryWindow);
-        return hadNoOtherOwner || m_vouchesSince + horizon <= now;
+        return hadNoOtherOwner || m_soleOwnerSince + horizon <= now;
     }
     const auto retention = std::chrono::duration_cast<Milliseconds>(m_options.retention);
-    const bool isFromTheFuture = stamp->birth > now + skew;
-    const bool mayBeExpired = stamp->birth < now - retention;
+    const bool isFromTheFuture = stamp->createdAt > now + skew;
+    const bool mayBeExpired = stamp->createdAt < now - retention;
     const bool mayPredateOwner =
-        m_vouchesSince != WallTime() && stamp->birth <= m_vouchesSince + 2 * skew;
+        m_soleOwnerSince != WallTime() && stamp->createdAt <= m_soleOwnerSince + 2 * skew;
     return !isFromTheFuture && !mayBeExpired && !mayPredateOwner;
 }
 
@@ -136,12 +136,12 @@
     if (oldest.answer)
         m_answerBytes -= oldest.answer->body.size();
     // Neither the removed key nor any key created before it can be known as ungranted any more.
-    m_vouchesSince = std::max(m_vouchesSince, oldest.record.at);
+    m_soleOwnerSince = std::max(m_soleOwnerSince, oldest.record.at);
     m_index.erase(oldest.record.attempt.key);
     m_entries.pop_front();
 }
 
-void ClaimTable::remember(const ClaimAttempt &attempt, const Clock &clock)
+void ClaimTable::recordGrant(const ClaimAttempt &attempt, const Clock &clock)
 {
     if (m_index.count(attempt.key) > 0)
         return;
--- a/ramphinge/claims/claim_table.h
+++ b/ramphinge/claims/claim_table.h
@@ -2,7 +2,7 @@
 //
 // A request that may not be retried is sent to an upstream only with a grant for its key. A key is
 // granted at most once, unless the claimant reports that nothing was sent. The owner grants only
-// keys that no earlier owner can have granted (see KeyStamp and `vouchesSince`).
+// keys that no earlier owner can have granted (see KeyStamp and `soleOwnerSince`).
 //
 //   ClaimAnswer answer = table.claim(attempt, mayActFor, clock);
 //   if (answer.verdict == ClaimVerdict::Granted) ...send within answer.sendWithin...
@@ -98,9 +98,9 @@
 class ClaimTable
 {
 public:
-    // `vouchesSince`: no other process granted keys of this slot after that time. The default value
-    // means that the slot never had another owner.
-    ClaimTable(ClaimTableOptions options, WallTime vouchesSince);
+    // `soleOwnerSince`: no other process granted keys of this slot after that time. The default
+    // value means that the slot never had another owner.
+    ClaimTable(ClaimTableOptions options, WallTime soleOwnerSince);
 
     // `mayActFor`: remaining time for which the caller owns the slot; zero if it doesn't.
     ClaimAnswer claim(const ClaimAttempt &attempt, Duration mayActFor, const Clock &clock);
@@ -112,11 +112,11 @@
                 const Clock &clock);
 
     // For a copy of the owner's table: records a grant that the owner is about to give.
-    void remember(const ClaimAttempt &attempt, const Clock &clock);
+    void recordGrant(const ClaimAttempt &attempt, const Clock &clock);
 
     // All keys, for the next owner.
     std::vector<ClaimRecord> records() const;
-    WallTime vouchesSince() const { return m_vouchesSince; }
+    WallTime soleOwnerSince() const { return m_soleOwnerSince; }
 
     // Adds the records of the previous owner, which stopped granting before it sent them.
     void adopt(const std::vector<ClaimRecord> &records);
@@ -142,7 +142,7 @@
     void keep(Entry &entry, std::optional<KeptAnswer> answer);
 
     ClaimTableOptions m_options;
-    WallTime m_vouchesSince; // Never decreases.
+    WallTime m_soleOwnerSince; // Never decreases.
     Entries m_entries;
     std::unordered_map<ClaimKey, Entries::iterator, KeyHash> m_index;
     std::size_t m_answerBytes = 0;
--- a/ramphinge/claims/claims_test.cpp
+++ b/ramphinge/claims/claims_test.cpp
@@ -53,7 +53,7 @@
         const auto stamp = parseKeyStamp(key);
         CPPUNIT_ASSERT(stamp.has_value());
         CPPUNIT_ASSERT_EQUAL(zone, stamp->zone);
-        CPPUNIT_ASSERT(stamp->birth == m_clock.wallNow());
+        CPPUNIT_ASSERT(stamp->createdAt == m_clock.wallNow());
     }
 
     void malformedStampsAreOpaque()
@@ -167,7 +167,7 @@
     {
         ClaimTable old({}, WallTime());
         claim(old, "k");
-        ClaimTable next({}, old.vouchesSince());
+        ClaimTable next({}, old.soleOwnerSince());
         next.adopt(old.records());
         CPPUNIT_ASSERT(ClaimVerdict::InProgress == claim(next, "k"));
         CPPUNIT_ASSERT(ClaimVerdict::Granted == claim(next, "other"));
@@ -233,8 +233,8 @@
             clock.advance(std::chrono::milliseconds(random.below(400)));
             if (random.below(20) == 0) {
                 ClaimTable next(options,
-                                random.below(2) == 0 ? clock.wallNow() : owner.vouchesSince());
-                if (next.vouchesSince() == owner.vouchesSince())
+                                random.below(2) == 0 ? clock.wallNow() : owner.soleOwnerSince());
+                if (next.soleOwnerSince() == owner.soleOwnerSince())
                     next.adopt(owner.records());
                 owner = std::move(next);
             }
--- a/ramphinge/claims/key_stamp.cpp
+++ b/ramphinge/claims/key_stamp.cpp
@@ -24,19 +24,19 @@
     const std::string &text = key.text();
     if (text.compare(0, stampPrefix.size(), stampPrefix) != 0)
         return std::nullopt;
-    // The zone may contain dashes; the birth time and the random part can't.
+    // The zone may contain dashes; the creation time and the random part can't.
     const std::size_t last = text.rfind('-');
     const std::size_t middle = last == 0 ? std::string::npos : text.rfind('-', last - 1);
     if (middle == std::string::npos || middle <= stampPrefix.size())
         return std::nullopt;
-    std::int64_t birth = 0;
+    std::int64_t createdAt = 0;
     const char *const begin = text.data() + middle + 1;
     const char *const end = text.data() + last;
-    const auto parsed = std::from_chars(begin, end, birth, 16);
-    if (parsed.ec != std::errc() || parsed.ptr != end || birth <= 0)
+    const auto parsed = std::from_chars(begin, end, createdAt, 16);
+    if (parsed.ec != std::errc() || parsed.ptr != end || createdAt <= 0)
         return std::nullopt;
     return KeyStamp { ZoneId(text.substr(stampPrefix.size(), middle - stampPrefix.size())),
-                      fromUnixMilliseconds(birth) };
+                      fromUnixMilliseconds(createdAt) };
 }
 
 IdempotencyKey makeStampedKey(const ZoneId &zone, WallTime now, Random &random)
--- a/ramphinge/claims/key_stamp.h
+++ b/ramphinge/claims/key_stamp.h
@@ -1,5 +1,5 @@
 // Idempotency keys that carry the zone and time of their creation:
-// "rk1-<zone>-<birth ms, hex>-<random>".
+// "rk1-<zone>-<creation time, ms, hex>-<random>".
 //
 // The new owner of a slot doesn't know which keys its predecessor granted. With the creation time
 // it can grant every key that was created after it became the owner, and refuses only older ones.
@@ -17,7 +17,7 @@
 struct KeyStamp
 {
     ZoneId zone;
-    WallTime birth;
+    WallTime createdAt;
 };
 
 // Nullopt if the key has no valid stamp; such a key is opaque.
--- a/ramphinge/control/claim_owner.cpp
+++ b/ramphinge/control/claim_owner.cpp
@@ -19,7 +19,7 @@
     const bool adopts = reign.adoptedFrom != 0 && received != m_received.end()
         && received->second.reign == reign.adoptedFrom;
     ClaimTable table =
-        adopts ? std::move(received->second.table) : ClaimTable(m_options, reign.vouchesSince);
+        adopts ? std::move(received->second.table) : ClaimTable(m_options, reign.soleOwnerSince);
     m_received.erase(reign.slot);
     m_owned.erase(reign.slot);
     m_owned.emplace(reign.slot, Owned { std::move(table), reign.number, lease, false });
@@ -52,7 +52,7 @@
     const auto owned = m_owned.find(slot);
     if (owned == m_owned.end() || owned->second.table.size() > maxHandedRecords)
         return std::nullopt;
-    return HandoverMessage { slot, owned->second.reign, owned->second.table.vouchesSince(),
+    return HandoverMessage { slot, owned->second.reign, owned->second.table.soleOwnerSince(),
                              owned->second.table.records(), false };
 }
 
@@ -66,7 +66,7 @@
 
 void ClaimOwner::receive(const HandoverMessage &handover)
 {
-    ClaimTable table(m_options, handover.vouchesSince);
+    ClaimTable table(m_options, handover.soleOwnerSince);
     table.adopt(handover.records);
     m_received.erase(handover.slot);
     m_received.emplace(handover.slot, Received { std::move(table), handover.reign });
@@ -77,7 +77,7 @@
     const auto received = m_received.find(grant.slot);
     if (received == m_received.end() || received->second.reign != grant.reign)
         return false;
-    received->second.table.remember(grant.attempt, m_clock);
+    received->second.table.recordGrant(grant.attempt, m_clock);
     return true;
 }
 
--- a/ramphinge/control/control_test.cpp
+++ b/ramphinge/control/control_test.cpp
@@ -265,7 +265,7 @@
         bringUp(first);
         const std::vector<SlotReign> won = winSlots(first);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, won.size());
-        CPPUNIT_ASSERT(won[0].vouchesSince == WallTime());
+        CPPUNIT_ASSERT(won[0].soleOwnerSince == WallTime());
         CPPUNIT_ASSERT(winSlots(first).empty());
         // It dies; another takes over once the lease has lapsed and the roster has forgotten it.
         m_clock.advance(6 * second);
@@ -275,7 +275,7 @@
         const std::vector<SlotReign> taken = winSlots(next);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, taken.size());
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2 }, taken[0].number);
-        CPPUNIT_ASSERT(taken[0].vouchesSince == m_clock.wallNow());
+        CPPUNIT_ASSERT(taken[0].soleOwnerSince == m_clock.wallNow());
     }
 
     void ownerThatWinsItsSlotBackHasMissedNothing()
@@ -369,7 +369,7 @@
         // The owner has dropped the copy, and granted more without it.
         const SlotReign reign = takeOverWithCopy(false);
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, reign.adoptedFrom);
-        CPPUNIT_ASSERT(reign.vouchesSince != WallTime());
+        CPPUNIT_ASSERT(reign.soleOwnerSince != WallTime());
     }
 
     // A daemon dies after having placed a copy at another, which then wins the slot.
@@ -417,7 +417,7 @@
         const std::vector<SlotReign> won = winSlots(daemon);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, won.size());
         CPPUNIT_ASSERT(!won[0].continued);
-        CPPUNIT_ASSERT(won[0].vouchesSince != WallTime());
+        CPPUNIT_ASSERT(won[0].soleOwnerSince != WallTime());
     }
 
     // --- Changes of configuration ---
--- a/ramphinge/control/hub.cpp
+++ b/ramphinge/control/hub.cpp
@@ -159,10 +159,10 @@
     m_impl->claims.begin(reign, lease);
     if (!reign.continued)
         m_impl->copies.erase(reign.slot);
-    const char *how = reign.continued      ? "continued"
-        : reign.adoptedFrom != 0           ? "handed over"
-        : reign.vouchesSince == WallTime() ? "first"
-                                           : "taken over";
+    const char *how = reign.continued        ? "continued"
+        : reign.adoptedFrom != 0             ? "handed over"
+        : reign.soleOwnerSince == WallTime() ? "first"
+                                             : "taken over";
     m_impl->event(EventKind::RoleWon,
                   "slot " + std::to_string(reign.slot.number.count()) + " reign "
                       + std::to_string(reign.number) + " " + how);
--- a/ramphinge/control/slot_keeper.cpp
+++ b/ramphinge/control/slot_keeper.cpp
@@ -102,7 +102,7 @@
     if (mayAdopt(slot, last))
         reign.adoptedFrom = last.number;
     if (last.number > 0)
-        reign.vouchesSince = m_clock.wallNow();
+        reign.soleOwnerSince = m_clock.wallNow();
     m_reigns[slot] = reign.number;
     return reign;
 }
--- a/ramphinge/control/slot_keeper.h
+++ b/ramphinge/control/slot_keeper.h
@@ -25,7 +25,7 @@
     bool continued = false; // The memory of the same reign is still good.
     std::int64_t adoptedFrom = 0; // The reign whose handed-over memory must be taken in; or 0.
     WallTime
-        vouchesSince; // Unless continued or adopted. The epoch time: there was no earlier owner.
+        soleOwnerSince; // Unless continued or adopted. The epoch time: there was no earlier owner.
 };
 
 struct SlotKeeperOptions
--- a/ramphinge/gateway/internal/context.cpp
+++ b/ramphinge/gateway/internal/context.cpp
@@ -252,7 +252,7 @@
     const std::optional<KeyStamp> stamp = parseKeyStamp(m_request.key);
     if (!stamp)
         return m_context.clock.wallNow() < holding.since + opaqueKeyMaxAge;
-    return stamp->birth <= holding.since + maxStampSkew;
+    return stamp->createdAt <= holding.since + maxStampSkew;
 }
 
 void KeyClaim::recordAnswer(KeptAnswer answer)
--- a/ramphinge/peers/message.cpp
+++ b/ramphinge/peers/message.cpp
@@ -405,7 +405,7 @@
 {
     json["s"] = slotJson(message.slot);
     json["g"] = message.reign;
-    json["w"] = toUnixMilliseconds(message.vouchesSince);
+    json["w"] = toUnixMilliseconds(message.soleOwnerSince);
     json["y"] = message.isCopy;
     Json list = Json::array();
     for (const ClaimRecord &record : message.records)
@@ -418,7 +418,7 @@
 {
     message.slot = slotFrom(json.at("s"));
     message.reign = json.at("g").get<std::int64_t>();
-    message.vouchesSince = fromUnixMilliseconds(json.at("w").get<std::int64_t>());
+    message.soleOwnerSince = fromUnixMilliseconds(json.at("w").get<std::int64_t>());
     message.isCopy = json.at("y").get<bool>();
     for (const Json &entry : json.at("r")) {
         ClaimRecord record;
--- a/ramphinge/peers/message.h
+++ b/ramphinge/peers/message.h
@@ -79,7 +79,7 @@
 {
     SlotId slot;
     std::int64_t reign = 0; // How many owners the slot has had, the sender included.
-    WallTime vouchesSince;
+    WallTime soleOwnerSince;
     std::vector<ClaimRecord> records;
     bool isCopy = false; // The sender remains the owner; each grant follows as a CopyGrantMessage.
 };
--- a/tools/mutation-check.sh
+++ b/tools/mutation-check.sh
@@ -34,11 +34,11 @@
 }
 
 mutant "a new owner vouches for old keys" ramphinge/claims/claim_table.cpp claims \
-    'stamp->birth <= m_vouchesSince + 2 * skew' 'false'
+    'stamp->createdAt <= m_soleOwnerSince + 2 * skew' 'false'
 mutant "keys from the future are granted" ramphinge/claims/claim_table.cpp claims \
     'return !isFromTheFuture && ' 'return '
 mutant "forgetting does not raise what is vouched for" ramphinge/claims/claim_table.cpp claims \
-    'm_vouchesSince = std::max(m_vouchesSince, oldest.record.at);' ''
+    'm_soleOwnerSince = std::max(m_soleOwnerSince, oldest.record.at);' ''
 mutant "a late word of another try frees a key" ramphinge/claims/claim_table.cpp claims \
     '    if (isOtherAttempt)
         return;' ''
@@ -68,7 +68,7 @@
     '!presence.ok() || !presence.value().hasMajority()' '!presence.ok()'
 mutant "a slot won back counts as never lost, whoever reigned" ramphinge/control/slot_keeper.cpp control \
     'if (last.number > 0)
-        reign.vouchesSince = m_clock.wallNow();' ''
+        reign.soleOwnerSince = m_clock.wallNow();' ''
 mutant "a copy that the record does not name is adopted" ramphinge/control/slot_keeper.cpp control \
     '&& last.copyAt == m_options.daemon && last.copyIncarnation == m_options.incarnation' ''
 mutant "a copy of another reign takes grants" ramphinge/control/claim_owner.cpp control \
