--- a/ctl/handover.cpp
+++ b/ctl/handover.cpp
@@ -83,7 +83,8 @@
                 server, "GET", "/admin/v1/holding?account=" + percentEncoded(account));
             if (!holding.ok())
                 return Error(ErrorKind::Unavailable,
-                             toString(server) + " can't say whether it has work in progress ("
+                             toString(server)
+                                 + " didn't report whether it has requests in progress ("
                                  + holding.error().message() + "); name only daemons that run");
             inProgress += holding.value().value("inProgress", std::int64_t { 0 });
         }
@@ -102,13 +103,14 @@
 Status abortHandover(Side &from, const std::string &account, const StepCallback &reportStep)
 {
     if (from.phase == "here") {
-        reportStep("nothing to abort: the giving side holds the account");
+        reportStep("nothing to abort: the source side holds the account");
         return Done {};
     }
     if (from.phase == "there")
         return Error(ErrorKind::Conflict,
-                     "the giving side has let go already; finish the handover, then hand it back");
-    reportStep("giving side: draining -> here");
+                     "the source side has released the account already; finish the handover, "
+                     "then hand it back");
+    reportStep("source side: draining -> here");
     return changeHolding(from, account, "here", from.epoch + 1, 0);
 }
 
@@ -133,17 +135,17 @@
     if (to.phase != "there")
         return Error(
             ErrorKind::Conflict,
-            "the taking side must declare the account with phase \"there\" first; it has \""
+            "the destination side must declare the account with phase \"there\" first; it has \""
                 + to.phase + "\"");
     if (from.phase == "here") {
-        reportStep("giving side: here -> draining");
+        reportStep("source side: here -> draining");
         const std::int64_t epoch = std::max(from.epoch, to.epoch) + 1;
         // The epoch grows by one with each handover: a destination side whose epoch is higher held
         // the account more recently.
         if (epoch != from.epoch + 1)
-            return Error(
-                ErrorKind::Conflict,
-                "the taking side's epoch is ahead; the giving side is not the last holder");
+            return Error(ErrorKind::Conflict,
+                         "the destination side's epoch is ahead; the source side is "
+                         "not the last holder");
         const Status done = changeHolding(from, request.account, "draining", epoch, 0);
         if (!done.ok())
             return done;
@@ -152,12 +154,12 @@
         const Status idle = awaitIdle(from, request.account, request.drainLimit, reportStep);
         if (!idle.ok())
             return idle;
-        reportStep("giving side: draining -> there (from here on it is decided)");
+        reportStep("source side: draining -> there (irreversible from here on)");
         const Status done = changeHolding(from, request.account, "there", from.epoch, 0);
         if (!done.ok())
             return done;
     }
-    reportStep("taking side: there -> here");
+    reportStep("destination side: there -> here");
     const Status done = changeHolding(to, request.account, "here", from.epoch, nowMilliseconds());
     if (done.ok())
         reportStep("the handover is complete");
